--- /dev/null
+++ b/tests/formats_messages_test.cc
@@ -0,0 +1,180 @@
+// The forms of what users, workers and the cloud are sent, as literals, and of what is read from
+// workers and the cloud.
+//
+// None of them is upgraded together with the controllers. So a literal here may not be changed
+// along with the program: one that no longer matches means that they are no longer understood.
+#include <gtest/gtest.h>
+
+#include "wire/codec.h"
+
+namespace seampass {
+namespace {
+
+TEST(Formats, TellsUsersTheStatusOfAJobAsBefore) {
+  using wire::Stage;
+  EXPECT_EQ(wire::to_json({"wk-8801", Stage::queued, 0, 0}),
+            R"({"done":0,"ref":"wk-8801","running":0,"stage":"queued"})");
+  EXPECT_EQ(wire::to_json({"wk-8801", Stage::running, 4, 3}),
+            R"({"done":4,"ref":"wk-8801","running":3,"stage":"running"})");
+  EXPECT_EQ(wire::to_json({"wk-8801", Stage::done, 12, 0}),
+            R"({"done":12,"ref":"wk-8801","running":0,"stage":"done"})");
+  EXPECT_EQ(wire::to_json({"wk-8801", Stage::cancelled, 5, 0}),
+            R"({"done":5,"ref":"wk-8801","running":0,"stage":"withdrawn"})");
+}
+
+TEST(Formats, TellsUsersOfAnAcceptanceAsBefore) {
+  EXPECT_EQ(wire::accepted_json({"wk-8801", wire::Stage::queued, 4, 3}),
+            R"({"ref":"wk-8801","stage":"queued"})");
+  EXPECT_EQ(wire::accepted_json({"wk-8801", wire::Stage::cancelled, 4, 3}),
+            R"({"ref":"wk-8801","stage":"withdrawn"})");
+}
+
+const char* const kHeartbeat =
+    R"({"host":"m-000051","addr":"10.9.8.7:9100","barrel":"t-large","cellar":"zone-3",
+"lent_racks":true,"shift":3,"tally":205,"warrant":91,"recall_s":12.5,"pours":[
+{"pour":"wk-8801/0","try":1,"stage":"pulling"},
+{"pour":"wk-8801/1","try":2,"stage":"gathering"},
+{"pour":"wk-8801/2","try":3,"stage":"running"},
+{"pour":"wk-8801/99999","try":4,"stage":"saving","kept":false},
+{"pour":"wk-8802/0","try":5,"stage":"ended","exit_cause":"done","kept":true}]})";
+
+TEST(Formats, ReadsTheMachineOfAHeartbeat) {
+  const wire::WorkerReport report = wire::report_from(kHeartbeat);
+
+  EXPECT_EQ(report.machine, "m-000051");
+  EXPECT_EQ(report.addr, "10.9.8.7:9100");
+  EXPECT_EQ(report.type, "t-large");
+  EXPECT_EQ(report.zone, "zone-3");
+  EXPECT_TRUE(report.spot);
+  EXPECT_EQ(report.session, 3U);
+  EXPECT_EQ(report.seq, 205U);
+  EXPECT_EQ(report.token, 91U);
+  EXPECT_EQ(report.notice_s, 12.5);
+}
+
+TEST(Formats, ReadsTheTasksOfAHeartbeat) {
+  using wire::TaskState;
+  const wire::WorkerReport report = wire::report_from(kHeartbeat);
+
+  ASSERT_EQ(report.tasks.size(), 5U);
+  const std::vector<TaskState> states{TaskState::fetching, TaskState::waiting, TaskState::running,
+                                      TaskState::saving, TaskState::exited};
+  const std::vector<std::uint32_t> indexes{0, 1, 2, 99999, 0};
+  for (std::size_t i = 0; i < 5; ++i) {
+    EXPECT_EQ(report.tasks[i].job, i < 4 ? "wk-8801" : "wk-8802");
+    EXPECT_EQ(report.tasks[i].index, indexes[i]);
+    EXPECT_EQ(report.tasks[i].attempt, i + 1);
+    EXPECT_EQ(report.tasks[i].state, states[i]);
+    EXPECT_EQ(report.tasks[i].saved, i == 4);
+  }
+}
+
+TEST(Formats, ReadsEachCauseOfAnExit) {
+  using wire::ExitCause;
+  const std::vector<std::pair<std::string, ExitCause>> causes{
+      {"done", ExitCause::done},   {"halted", ExitCause::stopped}, {"peers", ExitCause::peers},
+      {"alone", ExitCause::alone}, {"error", ExitCause::error},    {"full", ExitCause::no_room},
+      {"busy", ExitCause::busy},   {"no_such", ExitCause::unknown}};
+  for (const auto& [word, cause] : causes) {
+    wire::Json report = wire::Json::parse(kHeartbeat);
+    report["pours"][4]["exit_cause"] = word;
+    EXPECT_EQ(wire::report_from(report.dump()).tasks.at(4).cause, cause) << word;
+  }
+}
+
+TEST(Formats, ReadsAHeartbeatOfAnIdleMachineWithoutNotice) {
+  for (const char* notice : {R"("recall_s":null,)", ""}) {
+    const wire::WorkerReport report = wire::report_from(
+        std::string(R"({"host":"m-000052","addr":"10.9.8.6:9100","barrel":"t-small",)") + notice +
+        R"("cellar":"zone-4","lent_racks":false,"shift":1,"tally":1,"warrant":0,"pours":[]})");
+    EXPECT_FALSE(report.notice_s) << notice;
+    EXPECT_FALSE(report.spot) << notice;
+    EXPECT_TRUE(report.tasks.empty()) << notice;
+  }
+}
+
+const std::vector<wire::Command> kCommands{{wire::Verb::start, "wk-8801", 4, 2, 0},
+                                           {wire::Verb::stop, "wk-8802", 0, 7, 12.5},
+                                           {wire::Verb::forget, "wk-8803", 99999, 1, 0}};
+
+TEST(Formats, AnswersHeartbeatsAsBefore) {
+  EXPECT_EQ(
+      wire::checkin_answer(91, kCommands),
+      R"({"orders":[{"pour":"wk-8801/4","try":2,"verb":"run"},{"pour":"wk-8802/0","try":7,"verb":"halt","wind_down_s":12.5},{"pour":"wk-8803/99999","try":1,"verb":"reap"}],"warrant":91})");
+  EXPECT_EQ(wire::checkin_answer(91, {}), R"({"orders":[],"warrant":91})");
+}
+
+TEST(Formats, SendsCommandsAsBefore) {
+  EXPECT_EQ(
+      wire::commands_body(91, 3, kCommands),
+      R"({"orders":[{"pour":"wk-8801/4","try":2,"verb":"run"},{"pour":"wk-8802/0","try":7,"verb":"halt","wind_down_s":12.5},{"pour":"wk-8803/99999","try":1,"verb":"reap"}],"shift":3,"warrant":91})");
+}
+
+TEST(Formats, SendsWorkersToTheLeaderAsBefore) {
+  EXPECT_EQ(wire::redirect_answer("node-2"), R"({"steward":"node-2"})");
+  EXPECT_EQ(wire::redirect_answer(""), "{}");
+}
+
+TEST(Formats, ReadsTheCatalogOfTheCloud) {
+  const auto types = wire::catalog_from(
+      R"({"barrels":[{"name":"t-large","cpus":64,"accelerators":4,"memory_gb":512,"cache_gb":150,
+"fetch_gb_per_s":0.75,"price":9.5,"low_price":3.25,"ready_s":40,"cellars":["zone-3","zone-4"]},
+{"name":"t-small","cpus":4,"memory_gb":16,"price":0.5,"ready_s":20,"cellars":["zone-4"]}]})");
+
+  ASSERT_EQ(types.size(), 2U);
+  EXPECT_EQ(types[0].name, "t-large");
+  EXPECT_EQ(types[0].cpus, 64);
+  EXPECT_EQ(types[0].gpus, 4);
+  EXPECT_EQ(types[0].memory_gb, 512);
+  EXPECT_EQ(types[0].cache_gb, 150);
+  EXPECT_EQ(types[0].fetch_gb_per_s, 0.75);
+  EXPECT_EQ(types[0].price, 9.5);
+  EXPECT_EQ(types[0].spot_price, 3.25);
+  EXPECT_EQ(types[0].boot_s, 40);
+  EXPECT_EQ(types[0].zones, (std::vector<std::string>{"zone-3", "zone-4"}));
+  EXPECT_EQ(types[1].gpus, 0);
+  EXPECT_EQ(types[1].cache_gb, 0);
+  EXPECT_EQ(types[1].fetch_gb_per_s, 0);
+  EXPECT_EQ(types[1].spot_price, 0.5);
+}
+
+TEST(Formats, AsksTheCloudForMachinesAsBefore) {
+  EXPECT_EQ(
+      wire::rental_body({"n1-17", "t-large", "zone-3", true, 5}),
+      R"({"barrel":"t-large","cellar":"zone-3","count":5,"hire_ask":"n1-17","lent_racks":true})");
+  EXPECT_EQ(wire::delete_body({"m-000051", "m-000052"}), R"({"hosts":["m-000051","m-000052"]})");
+  EXPECT_EQ(wire::rented_from(R"({"hosts":["m-000051","m-000052"]})"),
+            (std::vector<std::string>{"m-000051", "m-000052"}));
+}
+
+TEST(Formats, ReadsTheMachinesThatTheCloudLists) {
+  using wire::MachineStage;
+  const wire::MachinePage page = wire::machines_from(
+      R"({"has_next":true,"hosts":[{"ref":"m-000051","addr":"10.9.8.7:9100","barrel":"t-large",
+"cellar":"zone-3","lent_racks":true,"stage":"running","age_s":61.5},
+{"ref":"m-000052","addr":null,"barrel":"t-small","cellar":"zone-4","lent_racks":false,
+"stage":"starting","age_s":0},{"ref":"m-000053","barrel":"t-small","cellar":"zone-4",
+"lent_racks":false,"stage":"failed","age_s":7}]})");
+
+  EXPECT_TRUE(page.more);
+  ASSERT_EQ(page.machines.size(), 3U);
+  EXPECT_EQ(page.machines[0].name, "m-000051");
+  EXPECT_EQ(page.machines[0].addr, "10.9.8.7:9100");
+  EXPECT_EQ(page.machines[0].type, "t-large");
+  EXPECT_EQ(page.machines[0].zone, "zone-3");
+  EXPECT_TRUE(page.machines[0].spot);
+  EXPECT_FALSE(page.machines[1].spot);
+  EXPECT_EQ(page.machines[0].age_s, 61.5);
+  EXPECT_EQ(page.machines[0].stage, MachineStage::running);
+  EXPECT_EQ(page.machines[1].stage, MachineStage::booting);
+  EXPECT_EQ(page.machines[2].stage, MachineStage::failed);
+  EXPECT_EQ(page.machines[1].addr, "");
+}
+
+TEST(Formats, ReadsWhetherTheCloudListsMore) {
+  EXPECT_FALSE(wire::machines_from(R"({"hosts":[],"has_next":false})").more);
+  EXPECT_FALSE(wire::machines_from(R"({"hosts":[]})").more);
+}
+
+}  // namespace
+}  // namespace seampass
--- /dev/null
+++ b/tests/formats_requests_test.cc
@@ -0,0 +1,171 @@
+// The forms of requests over HTTP, as literals: what is asked of the state service, the cloud and
+// the workers, with paths and bodies; and what users and workers are answered, with the status and
+// the time after which they are to come again.
+//
+// None of those programs is upgraded together with the controllers. So a literal here may not be
+// changed along with the program: one that no longer matches means that they are no longer
+// understood.
+#include <gtest/gtest.h>
+
+#include "cloud/client.h"
+#include "standins/world.h"
+#include "state/client.h"
+#include "workers/client.h"
+
+namespace seampass::standins {
+namespace {
+
+// Keeps the requests as texts and answers all with the same reply.
+class KeepingCaller : public net::HttpCaller {
+ public:
+  void call(net::Call call, net::ReplyFn done) override {
+    requests.push_back(call.endpoint + " " + call.method + " " + call.path + " " + call.body);
+    done(reply);
+  }
+
+  std::vector<std::string> requests;
+  net::Reply reply{net::Reply::Fate::answered, 200, "{}"};
+};
+
+using Requests = std::vector<std::string>;
+
+struct StateRequests {
+  SimTime time;
+  KeepingCaller http;
+  state::Client client{time, http, "state:1", 1000, 1000, 500};
+
+  void answer(int status, const char* body) {
+    http.reply = {net::Reply::Fate::answered, status, body};
+  }
+};
+
+TEST(Formats, ReadsAKeyAsBefore) {
+  StateRequests state;
+  state::GetResult found;
+  state.answer(200, R"({"path":"open/wk-8801","v":{"a":1},"stamp":17,"permit":4})");
+  state.client.get("open/wk-8801", [&](const state::GetResult& result) { found = result; });
+  EXPECT_EQ(state.http.requests, (Requests{"state:1 GET /keys/open/wk-8801 "}));
+  EXPECT_EQ(found.outcome, state::Outcome::ok);
+  EXPECT_EQ(found.item.key, "open/wk-8801");
+  EXPECT_EQ(found.item.value.dump(), R"({"a":1})");
+  EXPECT_EQ(found.item.version, 17U);
+  EXPECT_EQ(found.item.lease, 4U);
+}
+
+TEST(Formats, ListsKeysAsBefore) {
+  StateRequests state;
+  state::ListResult found;
+  state.answer(200,
+               R"({"rows":[{"path":"open/wk-1","v":3,"stamp":5}],"has_next":true,"ledger_rev":9})");
+  state.client.list("open/", "", [&](const state::ListResult& result) { found = result; });
+  state.client.list("open/", "open/wk-1", [](const state::ListResult&) {});
+  EXPECT_EQ(state.http.requests,
+            (Requests{"state:1 GET /keys?under=open/&most=500 ",
+                      "state:1 GET /keys?under=open/&most=500&since=open/wk-1 "}));
+  ASSERT_EQ(found.items.size(), 1U);
+  EXPECT_EQ(found.items[0].key, "open/wk-1");
+  EXPECT_EQ(found.items[0].version, 5U);
+  EXPECT_TRUE(found.more);
+  EXPECT_EQ(found.revision, 9U);
+}
+
+TEST(Formats, WritesTransactionsAsBefore) {
+  StateRequests state;
+  state::TxnResult result;
+  state::Txn txn;
+  txn.conditions = {{"leader", 91}, {"ends/wk-8801", 0}};
+  txn.changes.push_back({"work/wk-8801/s7", wire::Json{{"n", 1}}, 0});
+  txn.changes.push_back({"leader", wire::Json{{"node", "n1"}}, 6});
+  txn.changes.push_back({"open/wk-8801", std::nullopt, 0});
+  state.answer(409, R"({"failed":["ends/wk-8801"],"ledger_rev":12})");
+  state.client.txn(std::move(txn), state::Urgency::final_status,
+                   [&](const state::TxnResult& r) { result = r; });
+  EXPECT_EQ(
+      state.http.requests,
+      (Requests{
+          R"(state:1 POST /txn {"apply":[{"v":{"n":1},"write":"work/wk-8801/s7"},{"permit":6,"v":{"node":"n1"},"write":"leader"},{"delete":"open/wk-8801"}],"if":[{"path":"leader","stamp":91},{"path":"ends/wk-8801","stamp":0}]})"}));
+  EXPECT_EQ(result.outcome, state::Outcome::conflict);
+  EXPECT_EQ(result.failed, (std::vector<std::string>{"ends/wk-8801"}));
+  EXPECT_EQ(result.revision, 12U);
+}
+
+TEST(Formats, WatchesKeysAsBefore) {
+  StateRequests state;
+  state::WatchResult result;
+  state.answer(
+      200,
+      R"({"log":[{"write":"leader","v":{"node":"n1"},"stamp":13},{"delete":"leader","stamp":14}],"ledger_rev":15})");
+  state.client.watch("leader", 12, 4000, [&](const state::WatchResult& r) { result = r; });
+  EXPECT_EQ(state.http.requests,
+            (Requests{"state:1 GET /watch?under=leader&since=12&block_ms=4000 "}));
+  EXPECT_EQ(result.revision, 15U);
+  ASSERT_EQ(result.events.size(), 2U);
+  EXPECT_EQ(result.events[0].key, "leader");
+  EXPECT_EQ(result.events[0].value, (wire::Json{{"node", "n1"}}));
+  EXPECT_EQ(result.events[0].version, 13U);
+  EXPECT_EQ(result.events[1].key, "leader");
+  EXPECT_FALSE(result.events[1].value);
+  EXPECT_EQ(result.events[1].version, 14U);
+}
+
+TEST(Formats, HandlesLeasesAsBefore) {
+  StateRequests state;
+  state::LeaseResult granted;
+  state.answer(200, R"({"permit":6})");
+  state.client.grant(3333, [&](const state::LeaseResult& result) { granted = result; });
+  state.client.renew(6, 500, [](state::Outcome) {});
+  state.client.end(6, [](state::Outcome) {});
+  EXPECT_EQ(state.http.requests,
+            (Requests{R"(state:1 POST /leases {"ttl_ms":3333})", "state:1 POST /leases/6/extend ",
+                      "state:1 DELETE /leases/6 "}));
+  EXPECT_EQ(granted.lease, 6U);
+}
+
+TEST(Formats, RequestsOfTheCloudAreAsBefore) {
+  SimTime time;
+  KeepingCaller http;
+  cloud::Client client(time, http, "cloud:1", 100, 1000);
+  client.catalog([](bool, const std::vector<wire::MachineType>&) {});
+  client.rent({"n1-17", "t-large", "zone-3", false, 2},
+              [](cloud::Rented, const std::vector<std::string>&) {});
+  client.remove({"m-000051"}, [](bool) {});
+  client.machines("", [](bool, const wire::MachinePage&) {});
+  client.machines("m-000051", [](bool, const wire::MachinePage&) {});
+  EXPECT_EQ(
+      http.requests,
+      (Requests{
+          "cloud:1 GET /catalog ",
+          R"(cloud:1 POST /rentals {"barrel":"t-large","cellar":"zone-3","count":2,"hire_ask":"n1-17","lent_racks":false})",
+          R"(cloud:1 POST /rentals/delete {"hosts":["m-000051"]})",
+          "cloud:1 GET /rentals?most=500 ", "cloud:1 GET /rentals?most=500&since=m-000051 "}));
+}
+
+TEST(Formats, KnowsThatTheCloudHasNoCapacity) {
+  const auto rented = [](const char* body) {
+    SimTime time;
+    KeepingCaller http;
+    cloud::Client client(time, http, "cloud:1", 100, 1000);
+    http.reply = {net::Reply::Fate::answered, 503, body};
+    std::optional<cloud::Rented> result;
+    client.rent({}, [&](cloud::Rented r, const std::vector<std::string>&) { result = r; });
+    return result;
+  };
+  EXPECT_EQ(rented(R"({"error":"no capacity"})"), cloud::Rented::no_capacity);
+  EXPECT_EQ(rented(R"({"error":"trouble"})"), cloud::Rented::trouble);
+}
+
+TEST(Formats, RequestsOfWorkersAreAsBefore) {
+  KeepingCaller http;
+  workers::Client client(http, 1000, 10);
+  client.send("10.9.8.7:9100", 91, 3, {{wire::Verb::forget, "wk-8803", 5, 1, 0}},
+              [](workers::Sent, const std::optional<wire::WorkerReport>&) {});
+  client.inspect("10.9.8.7:9100", [](const std::optional<wire::WorkerReport>&) {});
+  EXPECT_EQ(
+      http.requests,
+      (Requests{
+          R"(10.9.8.7:9100 POST /commands {"orders":[{"pour":"wk-8803/5","try":1,"verb":"reap"}],"shift":3,"warrant":91})",
+          "10.9.8.7:9100 GET /inspect "}));
+}
+
+}  // namespace
+}  // namespace seampass::standins
