--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -185,11 +185,11 @@
     }
     controller_.ask(ask->id, ask->cancel, reply);
   } else if (const auto* leads = std::get_if<rpc::Leads>(&message)) {
-    election_.hear(from, leads->warrant);
+    election_.on_leader_announced(from, leads->epoch);
     if (leads->round != 0)
-      peers_.send(from, rpc::Word{leads->round, election_.heard(), election_.up()});
+      peers_.send(from, rpc::Word{leads->round, election_.highest_known_epoch(), election_.up()});
   } else if (const auto* word = std::get_if<rpc::Word>(&message)) {
-    election_.on_confirmation(from, word->round, word->warrant, word->up_ms);
+    election_.on_confirmation(from, word->round, word->epoch, word->up_ms);
   } else if (const auto* answer = std::get_if<rpc::Answer>(&message)) {
     const auto it = asks_.find(answer->number);
     if (it == asks_.end() || it->second.node != from) return;
--- a/src/leader/absence.cc
+++ b/src/leader/absence.cc
@@ -17,7 +17,7 @@
     if (!inspected) return;
     inspected->inspecting = false;
     if (!report || report->machine != name) return unanswered(*inspected);
-    if (report->token > election_.warrant())
+    if (report->token > election_.epoch())
       return election_.lost(audit::Deposed::worker_shows_higher_epoch);
     take_inspection(*inspected, *report, asked);
   });
--- a/src/leader/commands.cc
+++ b/src/leader/commands.cc
@@ -32,7 +32,7 @@
   // A worker that began anew just now runs what it is told until its own lease is over, whether its
   // answer comes or not.
   if (!starts.empty()) machine.last_command_ack_at = runtime_.now();
-  workers_.send(machine.addr, election_.warrant(), machine.session, commands,
+  workers_.send(machine.addr, election_.epoch(), machine.session, commands,
                 [this, term = term_, name = machine.name, starts](
                     workers::Sent sent, const std::optional<wire::WorkerReport>& report) {
                   if (term == term_) take_command_answer(name, starts, sent, report);
@@ -57,7 +57,7 @@
     machine->unresponsive_since.reset();
   }
   if (!report || report->machine != name) return;
-  if (report->token > election_.warrant())
+  if (report->token > election_.epoch())
     return election_.lost(audit::Deposed::worker_shows_higher_epoch);
   take_report(*machine, *report, false);
 }
@@ -100,7 +100,7 @@
     attempt->sent = true;
     attempt->start_sent_at = runtime_.now();
     ++attempt->in_flight;
-    audit::start(name, machine.name, machine.session, election_.warrant(), false);
+    audit::start(name, machine.name, machine.session, election_.epoch(), false);
     add_start(machine, name, by_machine[&machine]);
   }
   for (const auto& [machine, commands] : by_machine) send(*machine, commands);
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -55,12 +55,12 @@
   active_ = true;
   began_ = waited_ = ticked_ = load_logged_ = runtime_.now();
   isolated_ticks_ = 0;
-  audit::elected(election_.warrant());
-  records_.begin(election_.warrant());
-  fleet_.begin(election_.warrant());
+  audit::elected(election_.epoch());
+  records_.begin(election_.epoch());
+  fleet_.begin(election_.epoch());
   layout_.use(Layout::chunks, cluster_.spans());
   // Records are read once it is known in which layouts they may be.
-  cluster_.begin(election_.warrant(),
+  cluster_.begin(election_.epoch(),
                  {[this] { load("open/", "", true); }, [this] { use_segments(); },
                   [this] { election_.lost(audit::Deposed::fenced); }});
   tick();
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -72,7 +72,7 @@
         if (term != term_) return;
         if (r.outcome == Outcome::missing) {
           leader_.clear();
-          return stand();
+          return campaign();
         }
         if (r.outcome != Outcome::ok) return retry([this] { read(); });
         const std::string who = node_named(r.item.value);
@@ -86,7 +86,8 @@
         }
         leader_ = who;
         seen_ = r.item.version;
-        heard_ = std::max(heard_, r.item.version);  // what is older is old news
+        highest_known_epoch_ =
+            std::max(highest_known_epoch_, r.item.version);  // what is older is old news
         watch();
       },
       state::Urgency::lease);
@@ -102,17 +103,17 @@
     for (const auto& e : r.events) {
       if (e.key != kKey) continue;
       vacant = !e.value;
-      if (e.value) heard_ = std::max(heard_, e.version);
+      if (e.value) highest_known_epoch_ = std::max(highest_known_epoch_, e.version);
       leader_ = e.value ? node_named(*e.value) : "";
     }
     seen_ = r.revision;
-    if (vacant) return stand();
+    if (vacant) return campaign();
     if (leader_ == node_) return read();
     watch();
   });
 }
 
-void Election::stand() {
+void Election::campaign() {
   // Whoever has just made way leaves the others time to stand.
   const net::Ms now = runtime_.now();
   if (resigned_ && now - *resigned_ < times_.ttl) return retry([this] { read(); });
@@ -134,7 +135,7 @@
     txn.changes.push_back({kKey, wire::Json{{"node", node_}}, lease_});
     state_.txn(std::move(txn), state::Urgency::lease, [this, term](const state::TxnResult& t) {
       if (term != term_) return;
-      if (t.outcome == Outcome::ok) return won(t.revision);
+      if (t.outcome == Outcome::ok) return become_leader(t.revision);
       // Lost, or not known: give this lease up, so that a late copy of the transaction either
       // fails or makes a key that goes with its lease.
       state_.end(lease_, [](Outcome) {});
@@ -144,15 +145,15 @@
   });
 }
 
-void Election::won(state::Version warrant) {
+void Election::become_leader(state::Version epoch) {
   leading_ = true;
-  warrant_ = warrant;
+  epoch_ = epoch;
   leader_ = node_;
   const std::uint64_t term = ++term_;
   runtime_.after(times_.ttl / kRenewals, [this, term] {
     if (term == term_) renew();
   });
-  heard_ = warrant;
+  highest_known_epoch_ = epoch;
   confirmed_at_ = 0;
   renewal_failed_ = extended_ = false;
   elected_();
@@ -180,7 +181,7 @@
     renewal_failed_ = extended_ = false;
     return announce_(0);
   }
-  if (!std::exchange(renewal_failed_, true)) audit::renewal_failed(warrant_, since_grant());
+  if (!std::exchange(renewal_failed_, true)) audit::renewal_failed(epoch_, since_grant());
   // Perhaps the store is down for all. Nobody can have answered a cancellation that we don't
   // know of unless somebody took over: if none did, the grace counts from now.
   asked_ = runtime_.now();
@@ -188,13 +189,13 @@
   announce_(++round_);
 }
 
-void Election::on_confirmation(const std::string& node, std::uint64_t round, std::uint64_t warrant,
+void Election::on_confirmation(const std::string& node, std::uint64_t round, std::uint64_t epoch,
                                net::Ms up_ms) {
   if (!leading_) return;
-  if (warrant > warrant_) return lost(audit::Deposed::peer_shows_higher_epoch);
+  if (epoch > epoch_) return lost(audit::Deposed::peer_shows_higher_epoch);
   // Whoever was asked in this term knows of it: this is a late copy of a word given in an earlier
   // one, by a round that may have had the same number.
-  if (warrant < warrant_) return;
+  if (epoch < epoch_) return;
   // While our lease surely held nobody else led. A node that has been up ever since remembers
   // whether it did; one that started later may have forgotten, and its word is worth nothing.
   // (Its time is taken against the word's arrival, since the asking may have been held up.)
@@ -202,14 +203,14 @@
   confirmations_.insert(node);
   if (confirmations_.size() != peers_) return;
   confirmed_at_ = std::max(confirmed_at_, asked_);
-  if (!std::exchange(extended_, true)) audit::extended_by_peers(warrant_, since_grant());
+  if (!std::exchange(extended_, true)) audit::extended_by_peers(epoch_, since_grant());
 }
 
 // A leader that the state service has stopped answering would go on telling workers to stay until
 // its grace is over, while the next one waits for them.
-void Election::hear(const std::string& node, std::uint64_t warrant) {
-  if (warrant <= heard_) return;
-  heard_ = warrant;
+void Election::on_leader_announced(const std::string& node, std::uint64_t epoch) {
+  if (epoch <= highest_known_epoch_) return;
+  highest_known_epoch_ = epoch;
   if (leading_) lost(audit::Deposed::peer_shows_higher_epoch);
   leader_ = node;
 }
@@ -225,7 +226,7 @@
 
 void Election::lost(audit::Deposed why) {
   if (!leading_) return;
-  audit::deposed(warrant_, why, since_grant());
+  audit::deposed(epoch_, why, since_grant());
   leading_ = false;
   leader_.clear();
   deposed_();
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -1,5 +1,5 @@
 // Who leads. The key `leader` is created only when absent, under a lease; the version of its
-// creation is the warrant.
+// creation is the epoch.
 #pragma once
 
 #include <functional>
@@ -35,7 +35,7 @@
   bool holds() const;
   // Check-ins may be answered with 200 (without starts unless the lease holds).
   bool may_answer() const;
-  std::uint64_t warrant() const { return warrant_; }
+  std::uint64_t epoch() const { return epoch_; }
   // Since the last good renewal was sent.
   net::Ms since_grant() const { return runtime_.now() - granted_; }
   // The leading node as far as known; empty if none is.
@@ -48,24 +48,24 @@
   // Somebody learned that another has taken over, or may have.
   void lost(audit::Deposed why);
   // What another node knows, in answer to an announcement with a round.
-  void on_confirmation(const std::string& node, std::uint64_t round, std::uint64_t warrant,
+  void on_confirmation(const std::string& node, std::uint64_t round, std::uint64_t epoch,
                        net::Ms up_ms);
-  // The highest warrant that anybody is known to have led with.
-  std::uint64_t heard() const { return heard_; }
+  // The highest epoch that anybody is known to have led with.
+  std::uint64_t highest_known_epoch() const { return highest_known_epoch_; }
   net::Ms up() const { return runtime_.now() - started_; }
-  // Another node says that it leads, with this warrant.
-  void hear(const std::string& node, std::uint64_t warrant);
+  // Another node says that it leads, with this epoch.
+  void on_leader_announced(const std::string& node, std::uint64_t epoch);
 
   static constexpr const char* kKey = "leader";
 
  private:
   void read();
   void watch();
-  void stand();
+  void campaign();
   void renew();
   void take_renewal(state::Outcome outcome, net::Ms sent);
   void retry(std::function<void()> what);
-  void won(state::Version warrant);
+  void become_leader(state::Version epoch);
 
   net::Runtime& runtime_;
   state::Client& state_;
@@ -77,8 +77,8 @@
 
   bool leading_ = false;
   std::string leader_;
-  std::uint64_t lease_ = 0, warrant_ = 0;
-  std::uint64_t heard_ = 0;
+  std::uint64_t lease_ = 0, epoch_ = 0;
+  std::uint64_t highest_known_epoch_ = 0;
   // When every other controller's word was last asked for and given: nobody had taken over by then.
   net::Ms confirmed_at_ = 0, asked_ = 0, started_ = 0;
   std::uint64_t round_ = 0;
--- a/src/leader/fleet.cc
+++ b/src/leader/fleet.cc
@@ -29,15 +29,15 @@
       operator_(op),
       gone_(std::move(gone)) {}
 
-void Fleet::begin(std::uint64_t warrant) {
+void Fleet::begin(std::uint64_t epoch) {
   stop();
-  warrant_ = warrant;
+  epoch_ = epoch;
   began_ = runtime_.now();
   poll_list("");
 }
 
 void Fleet::stop() {
-  warrant_ = 0;
+  epoch_ = 0;
   machines_.clear();
   to_delete_.clear();
   deleted_.clear();
@@ -79,13 +79,13 @@
     if (names.size() == kMaxDelete) break;
     names.push_back(n);
   }
-  const std::uint64_t warrant = warrant_;
-  cloud_.remove(names, [this, warrant, names](bool good) {
-    if (warrant != warrant_) return;
+  const std::uint64_t epoch = epoch_;
+  cloud_.remove(names, [this, epoch, names](bool good) {
+    if (epoch != epoch_) return;
     deletion_busy_ = false;
     if (!good) {
-      runtime_.after(net::ms(2 / settings_.cloud_rps), [this, warrant] {
-        if (warrant == warrant_) flush_removals();
+      runtime_.after(net::ms(2 / settings_.cloud_rps), [this, epoch] {
+        if (epoch == epoch_) flush_removals();
       });
       return;
     }
@@ -102,16 +102,16 @@
 }
 
 void Fleet::poll_list(const std::string& after) {
-  const std::uint64_t warrant = warrant_;
-  cloud_.machines(after, [this, warrant](bool good, const wire::MachinePage& page) {
-    if (warrant != warrant_ || warrant == 0) return;
+  const std::uint64_t epoch = epoch_;
+  cloud_.machines(after, [this, epoch](bool good, const wire::MachinePage& page) {
+    if (epoch != epoch_ || epoch == 0) return;
     if (good) {
       take_list(page);
       if (page.more && !page.machines.empty()) return poll_list(page.machines.back().name);
     }
     runtime_.after(net::ms(std::max(2 * settings_.list_lag_s, 4 / settings_.cloud_rps)),
-                   [this, warrant] {
-                     if (warrant == warrant_) poll_list("");
+                   [this, epoch] {
+                     if (epoch == epoch_) poll_list("");
                    });
   });
 }
@@ -251,16 +251,16 @@
 }
 
 void Fleet::rent(const sched::RentalOption& option, int count) {
-  // The warrant and the counter make a name that is never used again.
-  const std::string request = "r" + std::to_string(warrant_) + "-" + std::to_string(++counter_);
+  // The epoch and the counter make a name that is never used again.
+  const std::string request = "r" + std::to_string(epoch_) + "-" + std::to_string(++counter_);
   const wire::Rental rental{request, option.type, option.zone, option.spot,
                             std::min(count, kMaxRent)};
   asked_[request] = {option.type, option.zone, option.spot, rental.count};
-  const std::uint64_t warrant = warrant_;
+  const std::uint64_t epoch = epoch_;
   spdlog::debug("renting {} {} in {} spot {}", rental.count, rental.type, rental.zone, rental.spot);
-  cloud_.rent(rental, [this, warrant, request, rental](cloud::Rented result,
-                                                       const std::vector<std::string>& names) {
-    if (warrant != warrant_) return;
+  cloud_.rent(rental, [this, epoch, request, rental](cloud::Rented result,
+                                                     const std::vector<std::string>& names) {
+    if (epoch != epoch_) return;
     asked_.erase(request);
     const Ms now = runtime_.now();
     for (const std::string& n : names) {
--- a/src/leader/fleet.h
+++ b/src/leader/fleet.h
@@ -23,7 +23,7 @@
 struct Machine {
   std::string name, addr, type, zone;
   bool spot = false;
-  bool up = false;  // has shown this leader's warrant: it lives now, and hears us
+  bool up = false;  // has shown this leader's epoch: it lives now, and hears us
   bool deleting = false;
   bool draining = false;            // takes nothing new
   net::Ms since = 0;                // rented, as far as known
@@ -33,7 +33,7 @@
   // The first command without an answer since the last with one.
   std::optional<net::Ms> unresponsive_since;
   std::uint64_t session = 0, seq = 0, token = 0;
-  // Session and seq of the latest check-in that showed this leader's warrant, and of the latest
+  // Session and seq of the latest check-in that showed this leader's epoch, and of the latest
   // that did not.
   std::pair<std::uint64_t, std::uint64_t> last_heartbeat, last_unconfirmed_heartbeat;
   net::Ms last_command_ack_at = -1;  // last command that was, or may have been, executed; -1: none
@@ -79,9 +79,9 @@
         const config::Settings& settings, const config::Operator& op,
         std::function<void(Machine&)> gone);
 
-  void begin(std::uint64_t warrant);
+  void begin(std::uint64_t epoch);
   void stop();
-  bool active() const { return warrant_ != 0; }
+  bool active() const { return epoch_ != 0; }
 
   Machine* find(const std::string& name);
   Machine& ensure(const std::string& name);
@@ -134,7 +134,7 @@
   const config::Settings& settings_;
   const config::Operator& operator_;
   std::function<void(Machine&)> gone_;
-  std::uint64_t warrant_ = 0, counter_ = 0;
+  std::uint64_t epoch_ = 0, counter_ = 0;
   net::Ms began_ = 0;
   std::map<std::string, Machine> machines_;
   std::set<std::string> deleted_;
--- a/src/leader/heartbeats.cc
+++ b/src/leader/heartbeats.cc
@@ -20,7 +20,7 @@
 
 HeartbeatAnswer Controller::heartbeat(const wire::WorkerReport& report) {
   if (!active_ || !election_.may_answer()) return {503, "{}"};
-  if (report.token > election_.warrant()) {  // another leads already
+  if (report.token > election_.epoch()) {  // another leads already
     election_.lost(audit::Deposed::worker_shows_higher_epoch);
     return {503, "{}"};
   }
@@ -33,7 +33,7 @@
     machine.spot = report.spot;
   }
   const std::pair position{report.session, report.seq};
-  if (report.token < election_.warrant()) {
+  if (report.token < election_.epoch()) {
     // It has not heard this leader. Or it is a late copy, perhaps from a former life of the machine
     // with more sessions than this one: so it is answered, to be heard, and proves nothing.
     // A worker keeps the highest epoch that it has seen; one that shows less than before is a
@@ -42,7 +42,7 @@
       return {503, "{}"};
     machine.last_unconfirmed_heartbeat = position;
     machine.note_heartbeat(runtime_.now());
-    return {200, wire::checkin_answer(election_.warrant(), {})};
+    return {200, wire::checkin_answer(election_.epoch(), {})};
   }
   if (report.session < machine.session) return {503, "{}"};
   // A copy that comes late is no sign of life: its worker got the answer to the first, or none. But
@@ -53,13 +53,13 @@
   machine.note_heartbeat(runtime_.now());
   // (The answer to a command may have overtaken it.)
   if (!loaded_ || !is_newer(report, machine))
-    return {200, wire::checkin_answer(election_.warrant(), {})};
+    return {200, wire::checkin_answer(election_.epoch(), {})};
   take_report(machine, report, true);
-  return {200, wire::checkin_answer(election_.warrant(), orders_for(machine, report))};
+  return {200, wire::checkin_answer(election_.epoch(), orders_for(machine, report))};
 }
 
 void Controller::take_report(Machine& machine, const wire::WorkerReport& report, bool heartbeat) {
-  if (!is_newer(report, machine) || report.token < election_.warrant()) return;
+  if (!is_newer(report, machine) || report.token < election_.epoch()) return;
   take_machine_state(machine, report);
   std::set<TaskId> reported;
   std::vector<const wire::TaskReport*> exited;
@@ -185,7 +185,7 @@
     if (attempt->in_flight > 0 || attempt->session != machine.session) continue;
     if (attempt->job->ending && !attempt->stop) continue;
     attempt->start_sent_at = runtime_.now();
-    audit::start(attempt->id(), machine.name, machine.session, election_.warrant(), true);
+    audit::start(attempt->id(), machine.name, machine.session, election_.epoch(), true);
     orders.push_back(command_for(Verb::start, attempt->id()));
     if (attempt->stop) {
       // It was never seen, and its start may come at any time. Started and stopped in one go, the
--- a/src/leader/record_store.cc
+++ b/src/leader/record_store.cc
@@ -46,8 +46,8 @@
                          const config::StateLimits& limits, Hooks hooks)
     : runtime_(runtime), state_(state), limits_(limits), hooks_(std::move(hooks)) {}
 
-void RecordStore::begin(std::uint64_t warrant) {
-  warrant_ = warrant;
+void RecordStore::begin(std::uint64_t epoch) {
+  epoch_ = epoch;
   ++term_;
   jobs_.clear();
   in_doubt_.clear();
@@ -149,12 +149,12 @@
 
 void RecordStore::flush(const std::string& job) {
   const auto it = jobs_.find(job);
-  if (it == jobs_.end() || it->second.busy || warrant_ == 0) return;
+  if (it == jobs_.end() || it->second.busy || epoch_ == 0) return;
   if (settle_unneeded(job)) return flush(job);
 
   Batch batch;
   // A late transaction of a former leader fails here.
-  batch.txn.conditions.push_back({Election::kKey, warrant_});
+  batch.txn.conditions.push_back({Election::kKey, epoch_});
   add_ending(job, batch);
   add_records(job, batch);
   if (!batch.txn.changes.empty()) send(job, std::move(batch));
--- a/src/leader/record_store.h
+++ b/src/leader/record_store.h
@@ -43,7 +43,7 @@
               Hooks hooks);
 
   // Starts a term; everything of the one before is forgotten.
-  void begin(std::uint64_t warrant);
+  void begin(std::uint64_t epoch);
   void stop() { begin(0); }
 
   // A record as found when the term began.
@@ -138,7 +138,7 @@
   state::Client& state_;
   config::StateLimits limits_;
   Hooks hooks_;
-  std::uint64_t warrant_ = 0;
+  std::uint64_t epoch_ = 0;
   std::uint64_t term_ = 0;
   std::map<std::string, Entry> jobs_;
   // A transaction with the verdict is out, or its outcome is not known.
--- a/src/leader/recovery.cc
+++ b/src/leader/recovery.cc
@@ -65,8 +65,7 @@
                                    [](const auto& entry) { return entry.second->ended; });
   std::size_t attempts = 0;
   for (const auto& [id, job] : jobs_) attempts += job->attempts.size();
-  audit::recovery_ended(election_.warrant(), listed_,
-                        jobs_.size() - static_cast<std::size_t>(ended),
+  audit::recovery_ended(election_.epoch(), listed_, jobs_.size() - static_cast<std::size_t>(ended),
                         static_cast<std::size_t>(ended), attempts, runtime_.now() - began_);
   dependencies_.listed();
   watch();
--- a/src/leader/upkeep.cc
+++ b/src/leader/upkeep.cc
@@ -74,7 +74,7 @@
   std::vector<Machine*> expired;
   for (auto& [name, m] : fleet_.machines()) {
     if (m.attempts.empty()) continue;
-    const bool confirmed = m.heard >= 0 && m.token >= election_.warrant();
+    const bool confirmed = m.heard >= 0 && m.token >= election_.epoch();
     if (attempts_.lease_expired(m, began_, confirmed, times)) expired.push_back(&m);
   }
   for (Machine* m : expired) machine_gone(*m, audit::AbsenceProof::lease_expired);
--- a/src/rpc/peer.capnp
+++ b/src/rpc/peer.capnp
@@ -25,14 +25,14 @@
 
 # The sender leads. A node that the state service does not answer learns it from here alone.
 struct Leads {
-  warrant @0 :UInt64;
+  epoch @0 :UInt64;
   round @1 :UInt64;  # not 0: a Word is asked for
 }
 
 # What the sender knows of leaders, and for how long it has been up.
 struct Word {
   round @0 :UInt64;
-  warrant @1 :UInt64;  # the highest that it knows anybody to have led with
+  epoch @1 :UInt64;  # the highest that it knows anybody to have led with
   upMs @2 :Int64;
 }
 
--- a/src/rpc/peer.h
+++ b/src/rpc/peer.h
@@ -33,14 +33,14 @@
 };
 
 struct Leads {
-  std::uint64_t warrant = 0, round = 0;
+  std::uint64_t epoch = 0, round = 0;
 };
 
 // A round that belongs to no election: it is asked only for the version that the answer carries.
 inline constexpr std::uint64_t kVersionRound = std::numeric_limits<std::uint64_t>::max();
 
 struct Word {
-  std::uint64_t round = 0, warrant = 0;
+  std::uint64_t round = 0, epoch = 0;
   std::int64_t up_ms = 0;
 };
 
--- a/src/rpc/peer_link.cc
+++ b/src/rpc/peer_link.cc
@@ -55,12 +55,12 @@
     m.setFresh(r->fresh);
   } else if (const auto* l = std::get_if<Leads>(&message)) {
     auto m = envelope.initLeads();
-    m.setWarrant(l->warrant);
+    m.setEpoch(l->epoch);
     m.setRound(l->round);
   } else if (const auto* w = std::get_if<Word>(&message)) {
     auto m = envelope.initWord();
     m.setRound(w->round);
-    m.setWarrant(w->warrant);
+    m.setEpoch(w->epoch);
     m.setUpMs(w->up_ms);
   }
   const auto words = capnp::messageToFlatArray(builder);
@@ -98,10 +98,10 @@
     case schema::Envelope::ANSWER:
       return answer_from(envelope.getAnswer());
     case schema::Envelope::LEADS:
-      return Leads{envelope.getLeads().getWarrant(), envelope.getLeads().getRound()};
+      return Leads{envelope.getLeads().getEpoch(), envelope.getLeads().getRound()};
     case schema::Envelope::WORD: {
       const auto word = envelope.getWord();
-      return Word{word.getRound(), word.getWarrant(), word.getUpMs()};
+      return Word{word.getRound(), word.getEpoch(), word.getUpMs()};
     }
   }
   throw std::runtime_error("unknown peer message");
--- a/tests/formats_peers_test.cc
+++ b/tests/formats_peers_test.cc
@@ -117,7 +117,7 @@
 void expect_leads(const rpc::Leads& leads, const std::string& frame) {
   EXPECT_EQ(hex_from(rpc::encode(leads)), frame);
   const auto read = read_back<rpc::Leads>(frame);
-  EXPECT_EQ(read.warrant, leads.warrant);
+  EXPECT_EQ(read.epoch, leads.epoch);
   EXPECT_EQ(read.round, leads.round);
 }
 
@@ -140,7 +140,7 @@
   EXPECT_EQ(hex_from(rpc::encode(rpc::Word{0x3c, 0x2a2b, 86400000})), frame);
   const auto read = read_back<rpc::Word>(frame);
   EXPECT_EQ(read.round, 0x3cU);
-  EXPECT_EQ(read.warrant, 0x2a2bU);
+  EXPECT_EQ(read.epoch, 0x2a2bU);
   EXPECT_EQ(read.up_ms, 86400000);
 }
 
