--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -35,7 +35,7 @@
       cloud_(runtime, http, settings_.cloud, settings_.cloud_rps * 0.7,
              ms(std::max(settings_.report_s, 8 / settings_.cloud_rps))),
       types_(runtime, cloud_, ms(settings_.lease_s * 2), ms(settings_.report_s / 2)),
-      // A few hundred bytes a verdict: an eighth of the memory at most.
+      // A few hundred bytes a final status: an eighth of the memory at most.
       status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
       election_(
           runtime, state_, settings_.node, times_of(settings_), [this] { controller_.begin(); },
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -86,7 +86,7 @@
 
 void ApiHandler::status(const std::string& id, Purpose purpose, const Reply& reply) {
   rpc::Answer known;
-  known.verdict = rpc::Verdict::known;
+  known.lookup = rpc::Lookup::found;
   if (const auto v = status_reader_.final_status(id)) {
     known.status = *v;
     audit::answer(
@@ -97,13 +97,13 @@
                                     const state::Item&) mutable {
     known.status = s;
     if (result != JobStatusReader::Found::cannot) audit::answer(s, AnswerBasis::store);
-    if (result == JobStatusReader::Found::none) known.verdict = rpc::Verdict::unknown;
-    if (result == JobStatusReader::Found::cannot) known.verdict = rpc::Verdict::cannot;
+    if (result == JobStatusReader::Found::none) known.lookup = rpc::Lookup::not_found;
+    if (result == JobStatusReader::Found::cannot) known.lookup = rpc::Lookup::unavailable;
     reply(known);
   };
   ask_leader({0, id, false, ""}, net::ms(settings_.report_s / 5),
              [this, id, purpose, found, reply](const rpc::Answer& a) {
-               if (a.verdict != rpc::Verdict::cannot) {
+               if (a.lookup != rpc::Lookup::unavailable) {
                  audit::answer(a.status, AnswerBasis::leader);
                  return reply(a);
                }
@@ -114,8 +114,8 @@
 
 void ApiHandler::current(const std::string& id, const Answer& answer) {
   status(id, Purpose::poll, [answer](const rpc::Answer& a) {
-    if (a.verdict == rpc::Verdict::cannot) return answer(later("state not available"));
-    if (a.verdict == rpc::Verdict::unknown) return answer(refusal(404, "no such job"));
+    if (a.lookup == rpc::Lookup::unavailable) return answer(later("state not available"));
+    if (a.lookup == rpc::Lookup::not_found) return answer(refusal(404, "no such job"));
     answer({200, wire::to_json(a.status), 0});
   });
 }
@@ -123,10 +123,10 @@
 void ApiHandler::cancel(const std::string& id, const Answer& answer) {
   if (const auto v = status_reader_.final_status(id))
     return answer({200, wire::accepted_json(*v), 0});
-  // Only the leader ends jobs, so that none of its answers can be older than the verdict.
+  // Only the leader ends jobs, so that none of its answers can be older than the final status.
   ask_leader({0, id, true, ""}, net::ms(settings_.report_s), [answer](const rpc::Answer& a) {
-    if (a.verdict == rpc::Verdict::cannot) return answer(later("no leader can answer"));
-    if (a.verdict == rpc::Verdict::unknown) return answer(refusal(404, "no such job"));
+    if (a.lookup == rpc::Lookup::unavailable) return answer(later("no leader can answer"));
+    if (a.lookup == rpc::Lookup::not_found) return answer(refusal(404, "no such job"));
     if (a.status.stage != wire::Stage::cancelled && a.status.stage != wire::Stage::done)
       return answer(later("not decided yet"));
     audit::answer(a.status, AnswerBasis::leader);
@@ -198,7 +198,7 @@
     runtime_.cancel(w.timer);
     rpc::Answer a = *answer;
     a.status.id = w.id;
-    if (a.verdict == rpc::Verdict::known &&
+    if (a.lookup == rpc::Lookup::found &&
         (a.status.stage == wire::Stage::done || a.status.stage == wire::Stage::cancelled))
       // (The leader may have derived a cancellation whose record is not written yet.)
       status_reader_.remember(a.status, a.status.stage == wire::Stage::done
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -18,9 +18,9 @@
 }  // namespace
 
 ApiHandler::Dependencies ApiHandler::dependency_state(const rpc::Answer& answer) {
-  if (answer.verdict == rpc::Verdict::cannot) return Dependencies::undecided;
+  if (answer.lookup == rpc::Lookup::unavailable) return Dependencies::undecided;
   // (Only a read of the store says so.)
-  if (answer.verdict == rpc::Verdict::unknown) return Dependencies::never_accepted;
+  if (answer.lookup == rpc::Lookup::not_found) return Dependencies::never_accepted;
   return answer.status.stage == wire::Stage::cancelled ? Dependencies::cancelled
                                                        : Dependencies::accepted;
 }
@@ -94,7 +94,7 @@
 void ApiHandler::accept_new(const std::string& id, const wire::Json& record, bool cancelled,
                             const Answer& answer) {
   accept(id, record, true, [answer, cancelled](const rpc::Answer& accepted) {
-    if (accepted.verdict != rpc::Verdict::known) return answer(later("state not available"));
+    if (accepted.lookup != rpc::Lookup::found) return answer(later("state not available"));
     wire::JobStatus status = accepted.status;
     // One that depends on a cancelled job is accepted all the same, and cancelled with it.
     if (accepted.fresh && cancelled) status.stage = wire::Stage::cancelled;
@@ -129,7 +129,7 @@
   };
   if (forward && state_.seems_down() && !election_.leading()) return elsewhere(record.dump());
   state::Txn txn;
-  txn.conditions = {{leader::open_key(id), 0}, {leader::ends_key(id), 0}};
+  txn.conditions = {{leader::open_key(id), 0}, {leader::final_status_key(id), 0}};
   txn.changes.push_back({leader::open_key(id), record, 0});
   state_.txn(std::move(txn), state::Urgency::final_status,
              [this, id, record, elsewhere, reply](const state::TxnResult& t) {
@@ -137,7 +137,7 @@
                // Not known, or not done: the transaction can be tried again from anywhere.
                if (t.outcome != Outcome::ok) return elsewhere(record.dump());
                rpc::Answer a;
-               a.verdict = rpc::Verdict::known;
+               a.lookup = rpc::Lookup::found;
                a.status.id = id;
                a.fresh = true;
                reply(a);
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -106,9 +106,9 @@
 
 void Controller::accepted(const std::string& id, const Json& record, state::Version version) {
   if (!active_ || jobs_.contains(id)) return;
-  // News of an acceptance can be older than the job's end. (A verdict that has left this cache is
-  // still found: the transaction that would assign its tasks compares ends/<id>. One that depends
-  // on a cancelled job may be known as cancelled before its end is written.)
+  // News of an acceptance can be older than the job's end. (A final status that has left this cache
+  // is still found: the transaction that would assign its tasks compares ends/<id>. One that
+  // depends on a cancelled job may be known as cancelled before its end is written.)
   if (status_reader_.written(id)) return;
   auto job = std::make_unique<JobRecord>();
   try {
@@ -144,7 +144,7 @@
 
 rpc::Answer Controller::status_of(const JobRecord& job) const {
   rpc::Answer a;
-  a.verdict = rpc::Verdict::known;
+  a.lookup = rpc::Lookup::found;
   a.status.id = job.spec.id;
   a.status.done = job.finished_count;
   a.status.running = job.ended ? 0 : job.running;
@@ -159,12 +159,12 @@
                      std::function<void(const rpc::Answer&)> reply) {
   if (!ready()) return reply({});
   const auto it = jobs_.find(id);
-  // A job recovered after its end has no stage here; its verdict is read.
+  // A job recovered after its end has no stage here; its final status is read.
   if (it != jobs_.end() && !(it->second->ended && it->second->stage == wire::Stage::queued)) {
     JobRecord& job = *it->second;
     if (job.ended || upstream_cancelled(job)) return reply(status_of(job));
-    // A verdict whose transaction is out may have been read by another node already: until this one
-    // knows, only the store can tell.
+    // A final status whose transaction is out may have been read by another node already: until
+    // this one knows, only the store can tell.
     if (!cancel && (records_.outcome_unknown(id) || !upstream_certain(id))) return reply({});
     if (!cancel) return reply(status_of(job));
     job.waiters.push_back(std::move(reply));
@@ -186,8 +186,8 @@
     if (term != term_ || !ready() || result == jobs::JobStatusReader::Found::cannot)
       return reply(a);
     a.status = status;
-    a.verdict =
-        result == jobs::JobStatusReader::Found::none ? rpc::Verdict::unknown : rpc::Verdict::known;
+    a.lookup =
+        result == jobs::JobStatusReader::Found::none ? rpc::Lookup::not_found : rpc::Lookup::found;
     if (result != jobs::JobStatusReader::Found::open) return reply(a);
     // Accepted, and the news had not come yet.
     accepted(id, open.value, open.version);
--- a/src/leader/record_store.cc
+++ b/src/leader/record_store.cc
@@ -22,7 +22,7 @@
 }  // namespace
 
 std::string open_key(const std::string& job) { return "open/" + job; }
-std::string ends_key(const std::string& job) { return "ends/" + job; }
+std::string final_status_key(const std::string& job) { return "ends/" + job; }
 std::string work_key(const std::string& job, const RecordId& id) {
   return "work/" + job + "/" + record_name(id);
 }
@@ -50,7 +50,7 @@
   epoch_ = epoch;
   ++term_;
   jobs_.clear();
-  in_doubt_.clear();
+  outcome_unknown_.clear();
 }
 
 void RecordStore::found(const std::string& job, const RecordId& id, state::Version version) {
@@ -155,7 +155,7 @@
   Batch batch;
   // A late transaction of a former leader fails here.
   batch.txn.conditions.push_back({Election::kKey, epoch_});
-  add_ending(job, batch);
+  append_final_status(job, batch);
   add_records(job, batch);
   if (!batch.txn.changes.empty()) send(job, std::move(batch));
 }
@@ -180,14 +180,15 @@
   return !waiters.empty();
 }
 
-void RecordStore::add_ending(const std::string& job, Batch& batch) const {
+void RecordStore::append_final_status(const std::string& job, Batch& batch) const {
   const Entry& e = jobs_.at(job);
   if (!e.ending) return;
-  batch.verdict = true;
+  batch.has_final_status = true;
   batch.urgency = e.ending->urgency;
-  batch.txn.conditions.push_back({ends_key(job), 0});
+  batch.txn.conditions.push_back({final_status_key(job), 0});
   batch.txn.conditions.push_back({open_key(job), e.ending->open_version});
-  batch.txn.changes.push_back({ends_key(job), jobs::encode({e.ending->stage, e.ending->done}), 0});
+  batch.txn.changes.push_back(
+      {final_status_key(job), jobs::encode({e.ending->stage, e.ending->done}), 0});
   batch.txn.changes.push_back({open_key(job), std::nullopt, 0});
 }
 
@@ -210,9 +211,9 @@
     batch.present.push_back(value.has_value());
     // No start after a cancellation was answered, whoever answered it; and no record that was
     // cleared with its job comes back by a late copy of its first write (both find version 0).
-    if ((r.urgency == Urgency::assignment || r.version == 0) && !batch.verdict && !e.ended &&
-        (conditions.size() < 2 || conditions[1].key != ends_key(job)))
-      conditions.insert(conditions.begin() + 1, {ends_key(job), 0});
+    if ((r.urgency == Urgency::assignment || r.version == 0) && !batch.has_final_status &&
+        !e.ended && (conditions.size() < 2 || conditions[1].key != final_status_key(job)))
+      conditions.insert(conditions.begin() + 1, {final_status_key(job), 0});
     batch.urgency = std::min(batch.urgency, r.urgency);
     batch.txn.changes.push_back({key, std::move(value), 0});
     r.dirty = false;
@@ -223,14 +224,14 @@
 void RecordStore::send(const std::string& job, Batch batch) {
   Entry& e = jobs_.at(job);
   e.busy = true;
-  const bool doubt = in_doubt_.contains(job);
-  if (batch.verdict) in_doubt_.insert(job);
+  const bool doubt = outcome_unknown_.contains(job);
+  if (batch.has_final_status) outcome_unknown_.insert(job);
   state::Txn txn = std::move(batch.txn);
   e.urgency = batch.urgency;
   e.sent = batch.ids;
   e.ticket = 0;
   // (One with a final status is never taken back: from when it is sent that is in doubt.)
-  const bool keep = batch.verdict;
+  const bool keep = batch.has_final_status;
   const auto ticket = state_.txn(
       std::move(txn), e.urgency,
       [this, term = term_, job, batch = std::move(batch), doubt](const state::TxnResult& t) {
@@ -249,7 +250,7 @@
   for (const RecordId& id : batch.ids) e.records[id].mark_unsent();
   if (result.outcome == Outcome::refused || result.outcome == Outcome::invalid) {
     e.busy = false;
-    if (!doubt) in_doubt_.erase(job);  // this one was certainly not carried out
+    if (!doubt) outcome_unknown_.erase(job);  // this one was certainly not carried out
     if (result.outcome == Outcome::refused) return later(job, kRetry);
     spdlog::error("the state service takes no record of {} in this form", job);
     later(job, kRetryInvalid);
@@ -260,7 +261,7 @@
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
   };
   if (result.outcome == Outcome::conflict && names(Election::kKey)) return hooks_.fenced();
-  read_back(job, batch.ids, batch.verdict || names(ends_key(job)));
+  read_back(job, batch.ids, batch.has_final_status || names(final_status_key(job)));
 }
 
 void RecordStore::applied(const std::string& job, const Batch& batch, state::Version version) {
@@ -279,7 +280,7 @@
   }
   std::function<void(wire::Stage)> ended;
   wire::Stage stage = wire::Stage::done;
-  if (batch.verdict && e.ending) {
+  if (batch.has_final_status && e.ending) {
     stage = e.ending->stage;
     audit::final_status(job, stage, version);
     ended = set_ended(job);
@@ -292,15 +293,16 @@
 }
 
 // Not known, or a version that is not what we thought: read what is there, then go on from it.
-void RecordStore::read_back(const std::string& job, std::vector<RecordId> ids, bool verdict) {
+void RecordStore::read_back(const std::string& job, std::vector<RecordId> ids,
+                            bool with_final_status) {
   const auto current = [this, term = term_, job] { return term == term_ && jobs_.contains(job); };
-  const auto again = [this, job, current](std::vector<RecordId> left, bool with_verdict) {
-    runtime_.after(kRetry, [this, job, current, left = std::move(left), with_verdict] {
-      if (current()) read_back(job, left, with_verdict);
+  const auto again = [this, job, current](std::vector<RecordId> left, bool with_final_status) {
+    runtime_.after(kRetry, [this, job, current, left = std::move(left), with_final_status] {
+      if (current()) read_back(job, left, with_final_status);
     });
   };
-  if (verdict) {
-    state_.get(ends_key(job), [this, job, ids, current, again](const state::GetResult& g) {
+  if (with_final_status) {
+    state_.get(final_status_key(job), [this, job, ids, current, again](const state::GetResult& g) {
       if (!current()) return;
       if (g.outcome != Outcome::ok && g.outcome != Outcome::missing) return again(ids, true);
       if (g.outcome == Outcome::ok && !take_final_status(job, g.item)) return again(ids, true);
@@ -329,7 +331,7 @@
   if (e.ending) durable = std::move(e.ending->durable);
   e.ending.reset();
   e.ended = true;
-  in_doubt_.erase(job);
+  outcome_unknown_.erase(job);
   return durable;
 }
 
@@ -343,7 +345,7 @@
     stage = jobs::decode_final_status(item.value).stage;
   } catch (const wire::Malformed& error) {
     spdlog::error("unreadable record {}, {} stands still: {}", item.key, job, error.what());
-    in_doubt_.insert(job);
+    outcome_unknown_.insert(job);
     return false;
   }
   const std::function<void(wire::Stage)> ended = set_ended(job);
--- a/src/leader/record_store.h
+++ b/src/leader/record_store.h
@@ -21,7 +21,7 @@
 namespace seampass::leader {
 
 std::string open_key(const std::string& job);
-std::string ends_key(const std::string& job);
+std::string final_status_key(const std::string& job);
 std::string work_key(const std::string& job, const RecordId& id);
 
 class RecordStore {
@@ -33,7 +33,7 @@
   struct Hooks {
     Render render;
     std::function<void()> fenced;  // another leads
-    // A verdict that this store did not write was found.
+    // A final status that this store did not write was found.
     std::function<void(const std::string& job, wire::Stage)> ended;
     std::function<void()> rejected;  // the service's limits are smaller than those we write for
   };
@@ -55,13 +55,13 @@
   // Has a record deleted that others replace: only once these are durable, or together with the
   // last of them, so that every step is one to stop after. Who waited for it waits for all of this.
   void replace(const std::string& job, const RecordId& old, const std::vector<RecordId>& with);
-  // Writes the verdict, and answers with the one that stands.
+  // Writes the final status, and answers with the one that stands.
   void end(const std::string& job, state::Version open_version, wire::Stage stage,
            std::uint64_t done, state::Urgency urgency, std::function<void(wire::Stage)> durable);
 
-  // A verdict of this job may be in the store, or may come to be, and is not known here yet.
-  bool outcome_unknown(const std::string& job) const { return in_doubt_.contains(job); }
-  bool any_outcome_unknown() const { return !in_doubt_.empty(); }
+  // A final status of this job may be in the store, or may come to be, and is not known here yet.
+  bool outcome_unknown(const std::string& job) const { return outcome_unknown_.contains(job); }
+  bool any_outcome_unknown() const { return !outcome_unknown_.empty(); }
   // Nothing of this record waits or is on its way.
   bool settled(const std::string& job, const RecordId& id) const;
   bool settled(const std::string& job) const;
@@ -73,7 +73,7 @@
   std::vector<std::string> jobs_writing(Layout layout) const;
   void forget(const std::string& job) {
     jobs_.erase(job);
-    in_doubt_.erase(job);
+    outcome_unknown_.erase(job);
   }
 
  private:
@@ -100,7 +100,7 @@
   struct Entry {
     std::map<RecordId, Record> records;
     std::optional<FinalStatus> ending;
-    bool ended = false;  // the verdict is in the store
+    bool ended = false;  // the final status is in the store
     bool busy = false;
     // Of the transaction on its way: may still wait for its turn.
     state::Client::Ticket ticket = 0;
@@ -112,7 +112,7 @@
   struct Batch {
     state::Txn txn;
     state::Urgency urgency = state::Urgency::progress;
-    bool verdict = false;
+    bool has_final_status = false;
     bool outgrown = false;  // holds a value that will not be taken once the limits have changed
     std::vector<RecordId> ids;
     std::vector<bool> present;  // by id: has a value after this
@@ -121,14 +121,14 @@
   void flush(const std::string& job);
   void hurry(const std::string& job, state::Urgency urgency);
   bool settle_unneeded(const std::string& job);
-  void add_ending(const std::string& job, Batch& batch) const;
+  void append_final_status(const std::string& job, Batch& batch) const;
   void add_records(const std::string& job, Batch& batch);
   void send(const std::string& job, Batch batch);
   void later(const std::string& job, net::Ms pause);
   void failed(const std::string& job, const Batch& batch, bool doubt,
               const state::TxnResult& result);
   void applied(const std::string& job, const Batch& batch, state::Version version);
-  void read_back(const std::string& job, std::vector<RecordId> ids, bool verdict);
+  void read_back(const std::string& job, std::vector<RecordId> ids, bool with_final_status);
   // False if the record can't be read.
   bool take_final_status(const std::string& job, const state::Item& item);
   // The final status is in the store; whoever waits for that, if anybody.
@@ -141,8 +141,8 @@
   std::uint64_t epoch_ = 0;
   std::uint64_t term_ = 0;
   std::map<std::string, Entry> jobs_;
-  // A transaction with the verdict is out, or its outcome is not known.
-  std::set<std::string> in_doubt_;
+  // A transaction with the final status is out, or its outcome is not known.
+  std::set<std::string> outcome_unknown_;
 };
 
 }  // namespace seampass::leader
--- a/src/rpc/peer.capnp
+++ b/src/rpc/peer.capnp
@@ -46,15 +46,15 @@
 
 struct Answer {
   number @0 :UInt64;
-  verdict @1 :Verdict;
+  lookup @1 :Lookup;
   stage @2 :UInt8;
   done @3 :UInt64;
   running @4 :UInt64;
   fresh @5 :Bool;  # the submission made the job
 
-  enum Verdict {
-    cannot @0;   # does not lead, or can't tell now
-    known @1;
-    unknown @2;  # no such job: a read of the state service said so
+  enum Lookup {
+    unavailable @0; # does not lead, or can't tell now
+    found @1;
+    notFound @2;  # no such job: a read of the state service said so
   }
 }
--- a/src/rpc/peer.h
+++ b/src/rpc/peer.h
@@ -23,11 +23,11 @@
   std::string record;  // not empty: accept this job
 };
 
-enum class Verdict { cannot, known, unknown };
+enum class Lookup { unavailable, found, not_found };
 
 struct Answer {
   std::uint64_t number = 0;
-  Verdict verdict = Verdict::cannot;
+  Lookup lookup = Lookup::unavailable;
   wire::JobStatus status;
   bool fresh = false;
 };
--- a/src/rpc/peer_link.cc
+++ b/src/rpc/peer_link.cc
@@ -48,7 +48,7 @@
   } else if (const auto* r = std::get_if<Answer>(&message)) {
     auto m = envelope.initAnswer();
     m.setNumber(r->number);
-    m.setVerdict(static_cast<schema::Answer::Verdict>(r->verdict));
+    m.setLookup(static_cast<schema::Answer::Lookup>(r->lookup));
     m.setStage(static_cast<std::uint8_t>(r->status.stage));
     m.setDone(r->status.done);
     m.setRunning(r->status.running);
@@ -71,13 +71,13 @@
 namespace {
 
 Answer answer_from(const schema::Answer::Reader& message) {
-  const auto verdict = static_cast<unsigned>(message.getVerdict());
-  if (verdict > static_cast<unsigned>(Verdict::unknown) ||
+  const auto lookup = static_cast<unsigned>(message.getLookup());
+  if (lookup > static_cast<unsigned>(Lookup::not_found) ||
       message.getStage() > static_cast<unsigned>(wire::Stage::cancelled))
     throw std::runtime_error("bad peer answer");
   Answer answer;
   answer.number = message.getNumber();
-  answer.verdict = static_cast<Verdict>(verdict);
+  answer.lookup = static_cast<Lookup>(lookup);
   answer.status.stage = static_cast<wire::Stage>(message.getStage());
   answer.status.done = message.getDone();
   answer.status.running = message.getRunning();
--- a/tests/copies_test.cc
+++ b/tests/copies_test.cc
@@ -92,7 +92,7 @@
   w.start(node);
   w.time.run_for(3000);
   rpc::Answer old;
-  old.verdict = rpc::Verdict::known;
+  old.lookup = rpc::Lookup::found;
   old.status.stage = wire::Stage::done;
   for (Ms at = 0; at < 12; ++at)
     w.time.after(at, [&w, &leader, &node, old]() mutable {
--- a/tests/formats_peers_test.cc
+++ b/tests/formats_peers_test.cc
@@ -71,16 +71,16 @@
       "00000500000042000000050000005a000000776b2d38383031007b226a6f62223a7b7d7d000000000000");
 }
 
-void expect_answer(rpc::Verdict verdict, wire::Stage stage, bool fresh, const std::string& frame) {
+void expect_answer(rpc::Lookup lookup, wire::Stage stage, bool fresh, const std::string& frame) {
   rpc::Answer answer;
   answer.number = 0x0102030405060708;
-  answer.verdict = verdict;
+  answer.lookup = lookup;
   answer.status = {"", stage, 77, 1ULL << 40};
   answer.fresh = fresh;
   EXPECT_EQ(hex_from(rpc::encode(answer)), frame);
   const auto read = read_back<rpc::Answer>(frame);
   EXPECT_EQ(read.number, answer.number);
-  EXPECT_EQ(read.verdict, verdict);
+  EXPECT_EQ(read.lookup, lookup);
   EXPECT_EQ(read.status.stage, stage);
   EXPECT_EQ(read.status.done, 77U);
   EXPECT_EQ(read.status.running, 1ULL << 40);
@@ -88,28 +88,28 @@
 }
 
 TEST(Formats, ReadsAndWritesAnswersOfEachVerdict) {
-  expect_answer(rpc::Verdict::cannot, wire::Stage::queued, false,
+  expect_answer(rpc::Lookup::unavailable, wire::Stage::queued, false,
                 "0000000007000000000000000100010002000100000000000000000004000000080706050403020100"
                 "000000000000004d000000000000000000000000010000");
-  expect_answer(rpc::Verdict::known, wire::Stage::queued, false,
+  expect_answer(rpc::Lookup::found, wire::Stage::queued, false,
                 "0000000007000000000000000100010002000100000000000000000004000000080706050403020101"
                 "000000000000004d000000000000000000000000010000");
-  expect_answer(rpc::Verdict::known, wire::Stage::queued, true,
+  expect_answer(rpc::Lookup::found, wire::Stage::queued, true,
                 "0000000007000000000000000100010002000100000000000000000004000000080706050403020101"
                 "000001000000004d000000000000000000000000010000");
-  expect_answer(rpc::Verdict::unknown, wire::Stage::queued, false,
+  expect_answer(rpc::Lookup::not_found, wire::Stage::queued, false,
                 "0000000007000000000000000100010002000100000000000000000004000000080706050403020102"
                 "000000000000004d000000000000000000000000010000");
 }
 
 TEST(Formats, ReadsAndWritesAnswersOfEachStage) {
-  expect_answer(rpc::Verdict::known, wire::Stage::running, false,
+  expect_answer(rpc::Lookup::found, wire::Stage::running, false,
                 "0000000007000000000000000100010002000100000000000000000004000000080706050403020101"
                 "000100000000004d000000000000000000000000010000");
-  expect_answer(rpc::Verdict::known, wire::Stage::done, false,
+  expect_answer(rpc::Lookup::found, wire::Stage::done, false,
                 "0000000007000000000000000100010002000100000000000000000004000000080706050403020101"
                 "000200000000004d000000000000000000000000010000");
-  expect_answer(rpc::Verdict::known, wire::Stage::cancelled, false,
+  expect_answer(rpc::Lookup::found, wire::Stage::cancelled, false,
                 "0000000007000000000000000100010002000100000000000000000004000000080706050403020101"
                 "000300000000004d000000000000000000000000010000");
 }
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -69,7 +69,7 @@
 
 TEST(Formats, NamesTheKeysOfAJobAsBefore) {
   EXPECT_EQ(leader::open_key("wk-8801"), "open/wk-8801");
-  EXPECT_EQ(leader::ends_key("wk-8801"), "ends/wk-8801");
+  EXPECT_EQ(leader::final_status_key("wk-8801"), "ends/wk-8801");
   EXPECT_EQ(leader::work_key("wk-8801", {Layout::chunks, 7}), "work/wk-8801/7");
   EXPECT_EQ(leader::work_key("wk-8801", {Layout::segments, 7}), "work/wk-8801/s7");
 }
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -13,7 +13,7 @@
 
 // One of the ways in which the gap can come about.
 struct Gap {
-  enum class Verdict { answered, lost, late } verdict;
+  enum class FinalStatusReply { answered, lost, late } final_status_reply;
   Ms refused_after;  // from the cancellation until the store refuses the leader
   bool stops_lost;
   Ms hang;
@@ -21,8 +21,9 @@
 };
 
 void PrintTo(const Gap& g, std::ostream* out) {
-  *out << "verdict " << static_cast<int>(g.verdict) << ", refused after " << g.refused_after
-       << " ms, stops lost " << g.stops_lost << ", hang " << g.hang << " ms, apart " << g.apart;
+  *out << "reply to the final status " << static_cast<int>(g.final_status_reply)
+       << ", refused after " << g.refused_after << " ms, stops lost " << g.stops_lost << ", hang "
+       << g.hang << " ms, apart " << g.apart;
 }
 
 class Meetings : public ::testing::TestWithParam<Gap> {};
@@ -45,9 +46,9 @@
     if (from == old && c.endpoint == "state:1") {
       if (refused)
         f.status = 503;
-      else if (ends_a_job(c) && g.verdict == Gap::Verdict::lost)
+      else if (ends_a_job(c) && g.final_status_reply == Gap::FinalStatusReply::lost)
         f.lose_answer = true;
-      else if (ends_a_job(c) && g.verdict == Gap::Verdict::late)
+      else if (ends_a_job(c) && g.final_status_reply == Gap::FinalStatusReply::late)
         f.late = 1200;
     }
     if (lost && from == old && c.path == "/commands") f.never = true;
@@ -90,27 +91,28 @@
   w.expect_rules();
 }
 
-INSTANTIATE_TEST_SUITE_P(Ways, Meetings,
-                         ::testing::Values(Gap{Gap::Verdict::lost, 0, false, 0, false},
-                                           Gap{Gap::Verdict::lost, 0, false, 0, true},
-                                           Gap{Gap::Verdict::lost, 40, false, 0, false},
-                                           Gap{Gap::Verdict::lost, 40, false, 0, true},
-                                           Gap{Gap::Verdict::lost, 15, true, 0, false},
-                                           Gap{Gap::Verdict::lost, 15, true, 0, true},
-                                           Gap{Gap::Verdict::lost, 15, false, 15000, false},
-                                           Gap{Gap::Verdict::lost, 15, false, 15000, true},
-                                           Gap{Gap::Verdict::late, 100, false, 0, false},
-                                           Gap{Gap::Verdict::late, 100, false, 0, true},
-                                           Gap{Gap::Verdict::late, 100, true, 0, false},
-                                           Gap{Gap::Verdict::late, 100, true, 0, true},
-                                           Gap{Gap::Verdict::late, 100, false, 15000, false},
-                                           Gap{Gap::Verdict::late, 100, false, 15000, true},
-                                           Gap{Gap::Verdict::answered, 10, true, 0, false},
-                                           Gap{Gap::Verdict::answered, 10, true, 0, true},
-                                           Gap{Gap::Verdict::answered, 100, true, 0, false},
-                                           Gap{Gap::Verdict::answered, 100, true, 0, true},
-                                           Gap{Gap::Verdict::answered, 100, false, 25000, false},
-                                           Gap{Gap::Verdict::answered, 100, false, 25000, true}));
+INSTANTIATE_TEST_SUITE_P(
+    Ways, Meetings,
+    ::testing::Values(Gap{Gap::FinalStatusReply::lost, 0, false, 0, false},
+                      Gap{Gap::FinalStatusReply::lost, 0, false, 0, true},
+                      Gap{Gap::FinalStatusReply::lost, 40, false, 0, false},
+                      Gap{Gap::FinalStatusReply::lost, 40, false, 0, true},
+                      Gap{Gap::FinalStatusReply::lost, 15, true, 0, false},
+                      Gap{Gap::FinalStatusReply::lost, 15, true, 0, true},
+                      Gap{Gap::FinalStatusReply::lost, 15, false, 15000, false},
+                      Gap{Gap::FinalStatusReply::lost, 15, false, 15000, true},
+                      Gap{Gap::FinalStatusReply::late, 100, false, 0, false},
+                      Gap{Gap::FinalStatusReply::late, 100, false, 0, true},
+                      Gap{Gap::FinalStatusReply::late, 100, true, 0, false},
+                      Gap{Gap::FinalStatusReply::late, 100, true, 0, true},
+                      Gap{Gap::FinalStatusReply::late, 100, false, 15000, false},
+                      Gap{Gap::FinalStatusReply::late, 100, false, 15000, true},
+                      Gap{Gap::FinalStatusReply::answered, 10, true, 0, false},
+                      Gap{Gap::FinalStatusReply::answered, 10, true, 0, true},
+                      Gap{Gap::FinalStatusReply::answered, 100, true, 0, false},
+                      Gap{Gap::FinalStatusReply::answered, 100, true, 0, true},
+                      Gap{Gap::FinalStatusReply::answered, 100, false, 25000, false},
+                      Gap{Gap::FinalStatusReply::answered, 100, false, 25000, true}));
 
 // The former leader's last act is a confirmation, its stops are lost; the next is elected, and the
 // store is down for all before it has listed anything.
@@ -143,8 +145,8 @@
   }
 }
 
-// The verdict is in the store, its answer is lost, and one controller has read it to its user: no
-// other says anything older.
+// The final status is in the store, its answer is lost, and one controller has read it to its user:
+// no other says anything older.
 TEST(MeetingsOfTwo, NoOlderAnswerWhileTheEndIsUnknown) {
   for (const bool cancelled : {true, false}) {
     World w;
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -120,7 +120,7 @@
   EXPECT_FALSE(service.has("work/wk-1/0"));
 }
 
-TEST_F(RecordStoreTest, FirstVerdictStands) {
+TEST_F(RecordStoreTest, FirstFinalStatusStands) {
   put("ends/wk-1", {{"stage", "withdrawn"}, {"done", 0}});
   wire::Stage stage = wire::Stage::queued;
   records.end("wk-1", 3, wire::Stage::done, 2, state::Urgency::final_status,
@@ -129,7 +129,7 @@
   EXPECT_EQ(stage, wire::Stage::cancelled);
 }
 
-TEST_F(RecordStoreTest, NoStartIsRecordedAfterAVerdict) {
+TEST_F(RecordStoreTest, NoStartIsRecordedAfterAFinalStatus) {
   put("ends/wk-1", {{"stage", "withdrawn"}, {"done", 0}});
   bool durable = false;
   records.changed("wk-1", chunk, state::Urgency::assignment, [&] { durable = true; });
--- a/tests/rpc_test.cc
+++ b/tests/rpc_test.cc
@@ -10,7 +10,7 @@
 std::vector<Message> samples() {
   Answer a;
   a.number = 9;
-  a.verdict = Verdict::known;
+  a.lookup = Lookup::found;
   a.status.stage = wire::Stage::running;
   a.status.done = 3;
   a.status.running = 1ull << 40;
@@ -35,7 +35,7 @@
   EXPECT_EQ(std::get<Leads>(back(list[3])).round, 6u);
   EXPECT_EQ(std::get<Word>(back(list[4])).up_ms, 9);
   const auto answer = std::get<Answer>(back(list[2]));
-  EXPECT_EQ(answer.verdict, Verdict::known);
+  EXPECT_EQ(answer.lookup, Lookup::found);
   EXPECT_EQ(answer.status.stage, wire::Stage::running);
   EXPECT_EQ(answer.status.running, 1ull << 40);
 }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -97,7 +97,7 @@
   });
   rpc::Answer answer;
   answer.number = 9;
-  answer.verdict = rpc::Verdict::unknown;
+  answer.lookup = rpc::Lookup::not_found;
   answer.status.stage = wire::Stage::cancelled;
   read(answer, [](const Envelope& e) {
     EXPECT_EQ(e.getAnswer().getVerdict(), production::Answer::Verdict::UNKNOWN);
