--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -54,7 +54,8 @@
     // Its answer says its version; no round of the election has this number.
     const bool ask_version =
         round == 0 && !cluster_.finalized() && !cluster_.knows_segments(p.node);
-    peers.send(p.node, rpc::Leads{election_.epoch(), ask_version ? rpc::kVersionRound : round});
+    peers.send(p.node, rpc::LeaderAnnouncement{election_.epoch(),
+                                               ask_version ? rpc::kVersionRound : round});
   }
 }
 
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -85,7 +85,7 @@
 }
 
 void ApiHandler::status(const std::string& id, Purpose purpose, const Reply& reply) {
-  rpc::Answer known;
+  rpc::JobReply known;
   known.lookup = rpc::Lookup::found;
   if (const auto v = status_reader_.final_status(id)) {
     known.status = *v;
@@ -102,7 +102,7 @@
     reply(known);
   };
   ask_leader({0, id, false, ""}, net::ms(settings_.report_s / 5),
-             [this, id, purpose, found, reply](const rpc::Answer& a) {
+             [this, id, purpose, found, reply](const rpc::JobReply& a) {
                if (a.lookup != rpc::Lookup::unavailable) {
                  audit::answer(a.status, AnswerBasis::leader);
                  return reply(a);
@@ -113,7 +113,7 @@
 }
 
 void ApiHandler::current(const std::string& id, const Answer& answer) {
-  status(id, Purpose::poll, [answer](const rpc::Answer& a) {
+  status(id, Purpose::poll, [answer](const rpc::JobReply& a) {
     if (a.lookup == rpc::Lookup::unavailable) return answer(later("state not available"));
     if (a.lookup == rpc::Lookup::not_found) return answer(refusal(404, "no such job"));
     answer({200, wire::to_json(a.status), 0});
@@ -124,7 +124,7 @@
   if (const auto v = status_reader_.final_status(id))
     return answer({200, wire::accepted_json(*v), 0});
   // Only the leader ends jobs, so that none of its answers can be older than the final status.
-  ask_leader({0, id, true, ""}, net::ms(settings_.report_s), [answer](const rpc::Answer& a) {
+  ask_leader({0, id, true, ""}, net::ms(settings_.report_s), [answer](const rpc::JobReply& a) {
     if (a.lookup == rpc::Lookup::unavailable) return answer(later("no leader can answer"));
     if (a.lookup == rpc::Lookup::not_found) return answer(refusal(404, "no such job"));
     if (a.status.stage != wire::Stage::cancelled && a.status.stage != wire::Stage::done)
@@ -146,7 +146,7 @@
   }
 }
 
-void ApiHandler::ask_leader(rpc::Ask ask, Ms timeout, Reply reply) {
+void ApiHandler::ask_leader(rpc::JobRequest ask, Ms timeout, Reply reply) {
   if (election_.leading()) return controller_.ask(ask.id, ask.cancel, std::move(reply));
   const std::string node = election_.leader();
   if (node.empty() || asks_.size() >= kMaxAsks) return reply({});
@@ -167,13 +167,13 @@
 }
 
 void ApiHandler::receive(const std::string& from, const rpc::Message& message) {
-  if (const auto* accepted = std::get_if<rpc::Accepted>(&message)) {
+  if (const auto* accepted = std::get_if<rpc::JobAccepted>(&message)) {
     if (!election_.leading()) return;
     const Json record = Json::parse(accepted->record, nullptr, false);
     if (!record.is_discarded()) controller_.on_accepted(accepted->id, record, accepted->version);
-  } else if (const auto* ask = std::get_if<rpc::Ask>(&message)) {
+  } else if (const auto* ask = std::get_if<rpc::JobRequest>(&message)) {
     const std::uint64_t number = ask->number;
-    const auto reply = [this, from, number](rpc::Answer a) {
+    const auto reply = [this, from, number](rpc::JobReply a) {
       a.number = number;
       peers_.send(from, a);
     };
@@ -184,19 +184,20 @@
       return accept(ask->id, record, false, reply);
     }
     controller_.ask(ask->id, ask->cancel, reply);
-  } else if (const auto* leads = std::get_if<rpc::Leads>(&message)) {
+  } else if (const auto* leads = std::get_if<rpc::LeaderAnnouncement>(&message)) {
     election_.on_leader_announced(from, leads->epoch);
     if (leads->round != 0)
-      peers_.send(from, rpc::Word{leads->round, election_.highest_known_epoch(), election_.up()});
-  } else if (const auto* word = std::get_if<rpc::Word>(&message)) {
+      peers_.send(from, rpc::EpochConfirmation{leads->round, election_.highest_known_epoch(),
+                                               election_.up()});
+  } else if (const auto* word = std::get_if<rpc::EpochConfirmation>(&message)) {
     election_.on_confirmation(from, word->round, word->epoch, word->up_ms);
-  } else if (const auto* answer = std::get_if<rpc::Answer>(&message)) {
+  } else if (const auto* answer = std::get_if<rpc::JobReply>(&message)) {
     const auto it = asks_.find(answer->number);
     if (it == asks_.end() || it->second.node != from) return;
     const Waiting w = std::move(it->second);
     asks_.erase(it);
     runtime_.cancel(w.timer);
-    rpc::Answer a = *answer;
+    rpc::JobReply a = *answer;
     a.status.id = w.id;
     if (a.lookup == rpc::Lookup::found &&
         (a.status.stage == wire::Stage::done || a.status.stage == wire::Stage::cancelled))
--- a/src/jobs/api_handler.h
+++ b/src/jobs/api_handler.h
@@ -29,7 +29,7 @@
   void receive(const std::string& from, const rpc::Message& message);
 
  private:
-  using Reply = std::function<void(const rpc::Answer&)>;
+  using Reply = std::function<void(const rpc::JobReply&)>;
 
   // Submissions: submissions.cc.
   void submit(const net::Request& request, const net::Answer& answer);
@@ -40,7 +40,7 @@
   bool storable(const wire::Json& record) const;
   // What is known of the jobs that one depends on, the worst of them; in this order.
   enum class Dependencies { accepted, cancelled, undecided, never_accepted };
-  static Dependencies dependency_state(const rpc::Answer& answer);
+  static Dependencies dependency_state(const rpc::JobReply& answer);
   void check_dependencies(const std::vector<std::string>& jobs,
                           std::function<void(Dependencies)> reply);
   // Writes the job, here or (where the store does not answer this node) through the leader.
@@ -55,7 +55,7 @@
   void cancel(const std::string& id, const net::Answer& answer);
   void heartbeat(const net::Request& request, const net::Answer& answer);
   // Asks the leader, this node or another.
-  void ask_leader(rpc::Ask ask, net::Ms timeout, Reply reply);
+  void ask_leader(rpc::JobRequest ask, net::Ms timeout, Reply reply);
 
   net::Runtime& runtime_;
   state::Client& state_;
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -17,7 +17,7 @@
 constexpr double kValueShare = 0.9;
 }  // namespace
 
-ApiHandler::Dependencies ApiHandler::dependency_state(const rpc::Answer& answer) {
+ApiHandler::Dependencies ApiHandler::dependency_state(const rpc::JobReply& answer) {
   if (answer.lookup == rpc::Lookup::unavailable) return Dependencies::undecided;
   // (Only a read of the store says so.)
   if (answer.lookup == rpc::Lookup::not_found) return Dependencies::never_accepted;
@@ -93,7 +93,7 @@
 
 void ApiHandler::accept_new(const std::string& id, const wire::Json& record, bool cancelled,
                             const Answer& answer) {
-  accept(id, record, true, [answer, cancelled](const rpc::Answer& accepted) {
+  accept(id, record, true, [answer, cancelled](const rpc::JobReply& accepted) {
     if (accepted.lookup != rpc::Lookup::found) return answer(later("state not available"));
     wire::JobStatus status = accepted.status;
     // One that depends on a cancelled job is accepted all the same, and cancelled with it.
@@ -114,7 +114,7 @@
   check->left = jobs.size();
   check->reply = std::move(reply);
   for (const std::string& job : jobs) {
-    status(job, Purpose::acceptance, [check](const rpc::Answer& answer) {
+    status(job, Purpose::acceptance, [check](const rpc::JobReply& answer) {
       check->worst = std::max(check->worst, dependency_state(answer));
       if (--check->left == 0) check->reply(check->worst);
     });
@@ -136,7 +136,7 @@
                if (t.outcome == Outcome::conflict) return status(id, Purpose::acceptance, reply);
                // Not known, or not done: the transaction can be tried again from anywhere.
                if (t.outcome != Outcome::ok) return elsewhere(record.dump());
-               rpc::Answer a;
+               rpc::JobReply a;
                a.lookup = rpc::Lookup::found;
                a.status.id = id;
                a.fresh = true;
@@ -144,7 +144,7 @@
                if (election_.leading())
                  controller_.on_accepted(id, record, t.revision);
                else if (!election_.leader().empty())
-                 peers_.send(election_.leader(), rpc::Accepted{id, record.dump(), t.revision});
+                 peers_.send(election_.leader(), rpc::JobAccepted{id, record.dump(), t.revision});
              });
 }
 
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -142,8 +142,8 @@
   aim->second.recent.emplace_back(runtime_.now() - age, job.spec.tasks);
 }
 
-rpc::Answer Controller::status_of(const JobRecord& job) const {
-  rpc::Answer a;
+rpc::JobReply Controller::status_of(const JobRecord& job) const {
+  rpc::JobReply a;
   a.lookup = rpc::Lookup::found;
   a.status.id = job.spec.id;
   a.status.done = job.finished_count;
@@ -156,7 +156,7 @@
 }
 
 void Controller::ask(const std::string& id, bool cancel,
-                     std::function<void(const rpc::Answer&)> reply) {
+                     std::function<void(const rpc::JobReply&)> reply) {
   if (!ready()) return reply({});
   const auto it = jobs_.find(id);
   // A job recovered after its end has no stage here; its final status is read.
@@ -182,7 +182,7 @@
   const auto found = [this, term, id, cancel, reply = std::move(reply)](
                          jobs::JobStatusReader::Found result, const wire::JobStatus& status,
                          const state::Item& open) {
-    rpc::Answer a;
+    rpc::JobReply a;
     if (term != term_ || !ready() || result == jobs::JobStatusReader::Found::cannot)
       return reply(a);
     a.status = status;
@@ -227,7 +227,7 @@
   JobRecord& job = *found;
   job.ending = job.concluding = job.ended = true;
   job.stage = stage;
-  const rpc::Answer answer = status_of(job);
+  const rpc::JobReply answer = status_of(job);
   status_reader_.remember(answer.status, jobs::JobStatusReader::Source::written);
   for (const auto& w : std::exchange(job.waiters, {})) w(answer);
   stop_all(job, 0, audit::StopReason::job_over);
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -56,7 +56,7 @@
   // News that a job was accepted, from this node or another.
   void on_accepted(const std::string& id, const wire::Json& record, state::Version version);
   // A poll or a cancellation; `cannot` unless the lease surely holds.
-  void ask(const std::string& id, bool cancel, std::function<void(const rpc::Answer&)> reply);
+  void ask(const std::string& id, bool cancel, std::function<void(const rpc::JobReply&)> reply);
 
   static wire::Json open_record(const wire::Job& job, std::int64_t created_ms);
 
@@ -102,7 +102,7 @@
   void note_arrival(const JobRecord& job);
   void on_ended(const std::string& id, wire::Stage stage);
   void erase_if_settled(const std::string& id);
-  rpc::Answer status_of(const JobRecord& job) const;
+  rpc::JobReply status_of(const JobRecord& job) const;
 
   // Attempts: attempts.cc.
   TaskAttempt* find_attempt(const std::string& job, std::uint32_t task);
--- a/src/leader/dependencies.cc
+++ b/src/leader/dependencies.cc
@@ -24,7 +24,7 @@
   job->ending = true;
   job->held.clear();
   spdlog::debug("cancelled {} with a job that it depends on", id);
-  const rpc::Answer answer = status_of(*job);
+  const rpc::JobReply answer = status_of(*job);
   for (const auto& waiter : std::exchange(job->waiters, {})) waiter(answer);
   erase_if_settled(id);
 }
--- a/src/leader/job_record.h
+++ b/src/leader/job_record.h
@@ -74,7 +74,7 @@
   // A durable record of its attempts can't be read: nothing of it may be started.
   bool unreadable = false;
   wire::Stage stage = wire::Stage::queued;
-  std::vector<std::function<void(const rpc::Answer&)>> waiters;
+  std::vector<std::function<void(const rpc::JobReply&)>> waiters;
 
   bool broken() const { return failed_on.size() > 1; }
   bool gang() const { return spec.kind == wire::JobKind::gang; }
--- a/src/rpc/peer.h
+++ b/src/rpc/peer.h
@@ -11,12 +11,12 @@
 
 namespace seampass::rpc {
 
-struct Accepted {
+struct JobAccepted {
   std::string id, record;
   std::uint64_t version = 0;
 };
 
-struct Ask {
+struct JobRequest {
   std::uint64_t number = 0;
   std::string id;
   bool cancel = false;
@@ -25,26 +25,27 @@
 
 enum class Lookup { unavailable, found, not_found };
 
-struct Answer {
+struct JobReply {
   std::uint64_t number = 0;
   Lookup lookup = Lookup::unavailable;
   wire::JobStatus status;
   bool fresh = false;
 };
 
-struct Leads {
+struct LeaderAnnouncement {
   std::uint64_t epoch = 0, round = 0;
 };
 
 // A round that belongs to no election: it is asked only for the version that the answer carries.
 inline constexpr std::uint64_t kVersionRound = std::numeric_limits<std::uint64_t>::max();
 
-struct Word {
+struct EpochConfirmation {
   std::uint64_t round = 0, epoch = 0;
   std::int64_t up_ms = 0;
 };
 
-using Message = std::variant<Accepted, Ask, Answer, Leads, Word>;
+using Message =
+    std::variant<JobAccepted, JobRequest, JobReply, LeaderAnnouncement, EpochConfirmation>;
 
 // Versions of the program that peers tell apart. Each can serve beside the one before it.
 using PeerVersion = std::uint16_t;
--- a/src/rpc/peer_link.cc
+++ b/src/rpc/peer_link.cc
@@ -34,31 +34,31 @@
   capnp::MallocMessageBuilder builder;
   auto envelope = builder.initRoot<schema::Envelope>();
   envelope.setVersion(kOwnVersion);
-  if (const auto* a = std::get_if<Accepted>(&message)) {
-    auto m = envelope.initAccepted();
+  if (const auto* a = std::get_if<JobAccepted>(&message)) {
+    auto m = envelope.initJobAccepted();
     m.setId(a->id);
     m.setRecord(a->record);
     m.setVersion(a->version);
-  } else if (const auto* q = std::get_if<Ask>(&message)) {
-    auto m = envelope.initAsk();
+  } else if (const auto* q = std::get_if<JobRequest>(&message)) {
+    auto m = envelope.initJobRequest();
     m.setNumber(q->number);
     m.setId(q->id);
     m.setCancel(q->cancel);
     m.setRecord(q->record);
-  } else if (const auto* r = std::get_if<Answer>(&message)) {
-    auto m = envelope.initAnswer();
+  } else if (const auto* r = std::get_if<JobReply>(&message)) {
+    auto m = envelope.initJobReply();
     m.setNumber(r->number);
-    m.setLookup(static_cast<schema::Answer::Lookup>(r->lookup));
+    m.setLookup(static_cast<schema::JobReply::Lookup>(r->lookup));
     m.setStage(static_cast<std::uint8_t>(r->status.stage));
     m.setDone(r->status.done);
     m.setRunning(r->status.running);
     m.setFresh(r->fresh);
-  } else if (const auto* l = std::get_if<Leads>(&message)) {
-    auto m = envelope.initLeads();
+  } else if (const auto* l = std::get_if<LeaderAnnouncement>(&message)) {
+    auto m = envelope.initLeaderAnnouncement();
     m.setEpoch(l->epoch);
     m.setRound(l->round);
-  } else if (const auto* w = std::get_if<Word>(&message)) {
-    auto m = envelope.initWord();
+  } else if (const auto* w = std::get_if<EpochConfirmation>(&message)) {
+    auto m = envelope.initEpochConfirmation();
     m.setRound(w->round);
     m.setEpoch(w->epoch);
     m.setUpMs(w->up_ms);
@@ -70,12 +70,12 @@
 
 namespace {
 
-Answer answer_from(const schema::Answer::Reader& message) {
+JobReply answer_from(const schema::JobReply::Reader& message) {
   const auto lookup = static_cast<unsigned>(message.getLookup());
   if (lookup > static_cast<unsigned>(Lookup::not_found) ||
       message.getStage() > static_cast<unsigned>(wire::Stage::cancelled))
     throw std::runtime_error("bad peer answer");
-  Answer answer;
+  JobReply answer;
   answer.number = message.getNumber();
   answer.lookup = static_cast<Lookup>(lookup);
   answer.status.stage = static_cast<wire::Stage>(message.getStage());
@@ -87,21 +87,22 @@
 
 Message message_from(const schema::Envelope::Reader& envelope) {
   switch (envelope.which()) {
-    case schema::Envelope::ACCEPTED: {
-      const auto accepted = envelope.getAccepted();
-      return Accepted{accepted.getId(), accepted.getRecord(), accepted.getVersion()};
+    case schema::Envelope::JOB_ACCEPTED: {
+      const auto accepted = envelope.getJobAccepted();
+      return JobAccepted{accepted.getId(), accepted.getRecord(), accepted.getVersion()};
     }
-    case schema::Envelope::ASK: {
-      const auto ask = envelope.getAsk();
-      return Ask{ask.getNumber(), ask.getId(), ask.getCancel(), ask.getRecord()};
+    case schema::Envelope::JOB_REQUEST: {
+      const auto ask = envelope.getJobRequest();
+      return JobRequest{ask.getNumber(), ask.getId(), ask.getCancel(), ask.getRecord()};
     }
-    case schema::Envelope::ANSWER:
-      return answer_from(envelope.getAnswer());
-    case schema::Envelope::LEADS:
-      return Leads{envelope.getLeads().getEpoch(), envelope.getLeads().getRound()};
-    case schema::Envelope::WORD: {
-      const auto word = envelope.getWord();
-      return Word{word.getRound(), word.getEpoch(), word.getUpMs()};
+    case schema::Envelope::JOB_REPLY:
+      return answer_from(envelope.getJobReply());
+    case schema::Envelope::LEADER_ANNOUNCEMENT:
+      return LeaderAnnouncement{envelope.getLeaderAnnouncement().getEpoch(),
+                                envelope.getLeaderAnnouncement().getRound()};
+    case schema::Envelope::EPOCH_CONFIRMATION: {
+      const auto word = envelope.getEpochConfirmation();
+      return EpochConfirmation{word.getRound(), word.getEpoch(), word.getUpMs()};
     }
   }
   throw std::runtime_error("unknown peer message");
--- a/tests/copies_test.cc
+++ b/tests/copies_test.cc
@@ -91,7 +91,7 @@
   w.kill(node);
   w.start(node);
   w.time.run_for(3000);
-  rpc::Answer old;
+  rpc::JobReply old;
   old.lookup = rpc::Lookup::found;
   old.status.stage = wire::Stage::done;
   for (Ms at = 0; at < 12; ++at)
@@ -115,7 +115,7 @@
   w.time.run_for(100);
   ASSERT_TRUE(w.settle());
   w.time.run_for(2000);
-  w.deliver(w.follower(), w.leader(), rpc::Accepted{"wk-1", record, 2});
+  w.deliver(w.follower(), w.leader(), rpc::JobAccepted{"wk-1", record, 2});
   EXPECT_EQ(w.poll(w.leader(), "wk-1").stage(), "done");
   w.expect_rules();
 }
@@ -133,7 +133,7 @@
   for (int i = 0; i < 60; ++i) {
     for (const char* n : {"n0", "n1", "n2"})
       for (std::uint64_t round = 1; n != leader && round < 200; ++round)
-        w.deliver(n, leader, rpc::Word{round, 0, 1'000'000});
+        w.deliver(n, leader, rpc::EpochConfirmation{round, 0, 1'000'000});
     w.time.run_for(1000);
   }
   EXPECT_TRUE(w.judge.on.empty());  // the leases have run out
--- a/tests/dependencies_test.cc
+++ b/tests/dependencies_test.cc
@@ -263,7 +263,7 @@
   ASSERT_EQ(w.cancel_until_told(leader, "wk-2", 30000).stage(), "withdrawn");
   w.time.run_for(5000);
   const std::string record = leader::Controller::open_record(second, 1).dump();
-  w.deliver(follower, leader, rpc::Accepted{"wk-2", record, 1'000'000});
+  w.deliver(follower, leader, rpc::JobAccepted{"wk-2", record, 1'000'000});
   for (int i = 0; i < 5; ++i) {
     EXPECT_EQ(w.poll(follower, "wk-2").stage(), "withdrawn");
     w.time.run_for(100);
--- a/tests/formats_peers_test.cc
+++ b/tests/formats_peers_test.cc
@@ -38,20 +38,20 @@
 }
 
 TEST(Formats, ReadsAndWritesTheNewsOfAnAcceptance) {
-  const rpc::Accepted written{"wk-8801", R"({"job":{}})", 0x1122334455667788};
+  const rpc::JobAccepted written{"wk-8801", R"({"job":{}})", 0x1122334455667788};
   const std::string frame =
       "00000000090000000000000001000100000001000000000000000000010002008877665544332211050000004200"
       "0000050000005a000000776b2d38383031007b226a6f62223a7b7d7d000000000000";
   EXPECT_EQ(hex_from(rpc::encode(written)), frame);
-  const auto read = read_back<rpc::Accepted>(frame);
+  const auto read = read_back<rpc::JobAccepted>(frame);
   EXPECT_EQ(read.id, "wk-8801");
   EXPECT_EQ(read.record, R"({"job":{}})");
   EXPECT_EQ(read.version, 0x1122334455667788U);
 }
 
-void expect_ask(const rpc::Ask& ask, const std::string& frame) {
+void expect_ask(const rpc::JobRequest& ask, const std::string& frame) {
   EXPECT_EQ(hex_from(rpc::encode(ask)), frame);
-  const auto read = read_back<rpc::Ask>(frame);
+  const auto read = read_back<rpc::JobRequest>(frame);
   EXPECT_EQ(read.number, ask.number);
   EXPECT_EQ(read.id, ask.id);
   EXPECT_EQ(read.cancel, ask.cancel);
@@ -72,13 +72,13 @@
 }
 
 void expect_answer(rpc::Lookup lookup, wire::Stage stage, bool fresh, const std::string& frame) {
-  rpc::Answer answer;
+  rpc::JobReply answer;
   answer.number = 0x0102030405060708;
   answer.lookup = lookup;
   answer.status = {"", stage, 77, 1ULL << 40};
   answer.fresh = fresh;
   EXPECT_EQ(hex_from(rpc::encode(answer)), frame);
-  const auto read = read_back<rpc::Answer>(frame);
+  const auto read = read_back<rpc::JobReply>(frame);
   EXPECT_EQ(read.number, answer.number);
   EXPECT_EQ(read.lookup, lookup);
   EXPECT_EQ(read.status.stage, stage);
@@ -114,9 +114,9 @@
                 "000300000000004d000000000000000000000000010000");
 }
 
-void expect_leads(const rpc::Leads& leads, const std::string& frame) {
+void expect_leads(const rpc::LeaderAnnouncement& leads, const std::string& frame) {
   EXPECT_EQ(hex_from(rpc::encode(leads)), frame);
-  const auto read = read_back<rpc::Leads>(frame);
+  const auto read = read_back<rpc::LeaderAnnouncement>(frame);
   EXPECT_EQ(read.epoch, leads.epoch);
   EXPECT_EQ(read.round, leads.round);
 }
@@ -137,8 +137,8 @@
   const std::string frame =
       "00000000060000000000000001000100040001000000000000000000030000003c000000000000002b2a00000000"
       "0000005c260500000000";
-  EXPECT_EQ(hex_from(rpc::encode(rpc::Word{0x3c, 0x2a2b, 86400000})), frame);
-  const auto read = read_back<rpc::Word>(frame);
+  EXPECT_EQ(hex_from(rpc::encode(rpc::EpochConfirmation{0x3c, 0x2a2b, 86400000})), frame);
+  const auto read = read_back<rpc::EpochConfirmation>(frame);
   EXPECT_EQ(read.round, 0x3cU);
   EXPECT_EQ(read.epoch, 0x2a2bU);
   EXPECT_EQ(read.up_ms, 86400000);
--- a/tests/rpc_test.cc
+++ b/tests/rpc_test.cc
@@ -8,14 +8,14 @@
 namespace {
 
 std::vector<Message> samples() {
-  Answer a;
+  JobReply a;
   a.number = 9;
   a.lookup = Lookup::found;
   a.status.stage = wire::Stage::running;
   a.status.done = 3;
   a.status.running = 1ull << 40;
-  return {Accepted{"wk-1", R"({"job":{}})", 77}, Ask{12, "wk-2", true, "{}"}, a, Leads{5, 6},
-          Word{7, 8, 9}};
+  return {JobAccepted{"wk-1", R"({"job":{}})", 77}, JobRequest{12, "wk-2", true, "{}"}, a,
+          LeaderAnnouncement{5, 6}, EpochConfirmation{7, 8, 9}};
 }
 
 TEST(Rpc, MessagesComeBackAsTheyWent) {
@@ -24,17 +24,17 @@
     const std::string s = encode(m);
     return decode(s.data(), s.size()).message;
   };
-  const auto accepted = std::get<Accepted>(back(list[0]));
+  const auto accepted = std::get<JobAccepted>(back(list[0]));
   EXPECT_EQ(accepted.id, "wk-1");
   EXPECT_EQ(accepted.record, R"({"job":{}})");
   EXPECT_EQ(accepted.version, 77u);
-  const auto ask = std::get<Ask>(back(list[1]));
+  const auto ask = std::get<JobRequest>(back(list[1]));
   EXPECT_EQ(ask.number, 12u);
   EXPECT_TRUE(ask.cancel);
   EXPECT_EQ(ask.record, "{}");
-  EXPECT_EQ(std::get<Leads>(back(list[3])).round, 6u);
-  EXPECT_EQ(std::get<Word>(back(list[4])).up_ms, 9);
-  const auto answer = std::get<Answer>(back(list[2]));
+  EXPECT_EQ(std::get<LeaderAnnouncement>(back(list[3])).round, 6u);
+  EXPECT_EQ(std::get<EpochConfirmation>(back(list[4])).up_ms, 9);
+  const auto answer = std::get<JobReply>(back(list[2]));
   EXPECT_EQ(answer.lookup, Lookup::found);
   EXPECT_EQ(answer.status.stage, wire::Stage::running);
   EXPECT_EQ(answer.status.running, 1ull << 40);
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -66,15 +66,15 @@
     EXPECT_EQ(envelope.version, rpc::kVersionUnsaid);
     return envelope.message;
   };
-  const auto accepted = std::get<rpc::Accepted>(read(0));
+  const auto accepted = std::get<rpc::JobAccepted>(read(0));
   EXPECT_EQ(accepted.id + accepted.record, R"(wk-1{"job":{}})");
   EXPECT_EQ(accepted.version, 77u);
-  const auto ask = std::get<rpc::Ask>(read(1));
+  const auto ask = std::get<rpc::JobRequest>(read(1));
   EXPECT_EQ(ask.number, 12u);
   EXPECT_TRUE(ask.cancel);
-  EXPECT_EQ(std::get<rpc::Answer>(read(2)).status.running, 4u);
-  EXPECT_EQ(std::get<rpc::Leads>(read(3)).round, 6u);
-  EXPECT_EQ(std::get<rpc::Word>(read(4)).up_ms, 9);
+  EXPECT_EQ(std::get<rpc::JobReply>(read(2)).status.running, 4u);
+  EXPECT_EQ(std::get<rpc::LeaderAnnouncement>(read(3)).round, 6u);
+  EXPECT_EQ(std::get<rpc::EpochConfirmation>(read(4)).up_ms, 9);
 }
 
 // With production's own schema: the version that was added does not change what it reads.
@@ -87,15 +87,15 @@
     check(reader.getRoot<production::Envelope>());
   };
   using Envelope = production::Envelope::Reader;
-  read(rpc::Accepted{"wk-1", "{}", 77}, [](const Envelope& e) {
+  read(rpc::JobAccepted{"wk-1", "{}", 77}, [](const Envelope& e) {
     EXPECT_EQ(std::string(e.getAccepted().getId().cStr()), "wk-1");
     EXPECT_EQ(e.getAccepted().getVersion(), 77u);
   });
-  read(rpc::Ask{12, "wk-2", true, "{}"}, [](const Envelope& e) {
+  read(rpc::JobRequest{12, "wk-2", true, "{}"}, [](const Envelope& e) {
     EXPECT_EQ(e.getAsk().getNumber(), 12u);
     EXPECT_TRUE(e.getAsk().getCancel());
   });
-  rpc::Answer answer;
+  rpc::JobReply answer;
   answer.number = 9;
   answer.lookup = rpc::Lookup::not_found;
   answer.status.stage = wire::Stage::cancelled;
@@ -103,11 +103,12 @@
     EXPECT_EQ(e.getAnswer().getVerdict(), production::Answer::Verdict::UNKNOWN);
     EXPECT_EQ(e.getAnswer().getStage(), 3);
   });
-  read(rpc::Leads{5, rpc::kVersionRound}, [](const Envelope& e) {
+  read(rpc::LeaderAnnouncement{5, rpc::kVersionRound}, [](const Envelope& e) {
     EXPECT_EQ(e.getLeads().getWarrant(), 5u);
     EXPECT_EQ(e.getLeads().getRound(), rpc::kVersionRound);
   });
-  read(rpc::Word{7, 8, 9}, [](const Envelope& e) { EXPECT_EQ(e.getWord().getUpMs(), 9); });
+  read(rpc::EpochConfirmation{7, 8, 9},
+       [](const Envelope& e) { EXPECT_EQ(e.getWord().getUpMs(), 9); });
 }
 
 // How the version in production reads a record: its chunk from the key, finished tasks relative to
