--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -47,7 +47,7 @@
   limits.max_connections = sockets - sockets / 8 - sockets / 32;
   limits.lasting_path = "/checkin";
   limits.idle = net::ms(settings.lease_s);
-  limits.slow = net::ms(settings.report_s * 3);
+  limits.slow = net::ms(settings.heartbeat_interval_s * 3);
   net::HttpServer server(loop, limits, [&node](const net::Request& r, net::Answer answer) {
     node.handle(r, std::move(answer));
   });
--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -17,7 +17,8 @@
 leader::ElectionTimes times_of(const config::Settings& s) {
   // A sixth of a worker's lease: a take-over leaves workers most of theirs. The grace leaves a
   // whole report interval as margin.
-  return {ms(s.lease_s / 6), ms(s.cancel_s - s.lease_s - s.report_s / 3), ms(2 * s.lease_s)};
+  return {ms(s.lease_s / 6), ms(s.cancel_s - s.lease_s - s.heartbeat_interval_s / 3),
+          ms(2 * s.lease_s)};
 }
 
 leader::RecordSpans spans_of(const config::Settings& s) {
@@ -31,19 +32,21 @@
     : settings_(std::move(settings)),
       operator_(std::move(op)),
       state_(runtime, http, settings_.state, settings_.least_state_limits().rps * kStoreRequests,
-             settings_.least_state_limits().write_rps * kStoreChanges, ms(settings_.report_s / 3)),
+             settings_.least_state_limits().write_rps * kStoreChanges,
+             ms(settings_.heartbeat_interval_s / 3)),
       cloud_(runtime, http, settings_.cloud, settings_.cloud_rps * 0.7,
-             ms(std::max(settings_.report_s, 8 / settings_.cloud_rps))),
-      types_(runtime, cloud_, ms(settings_.lease_s * 2), ms(settings_.report_s / 2)),
+             ms(std::max(settings_.heartbeat_interval_s, 8 / settings_.cloud_rps))),
+      types_(runtime, cloud_, ms(settings_.lease_s * 2), ms(settings_.heartbeat_interval_s / 2)),
       // A few hundred bytes a final status: an eighth of the memory at most.
       status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
       election_(
           runtime, state_, settings_.node, times_of(settings_), [this] { controller_.begin(); },
           [this] { controller_.stop(); }, settings_.peers.size(),
           [this, &peers](std::uint64_t round) { announce(peers, round); }),
-      cluster_(runtime, state_, settings_.peers, spans_of(settings_), ms(settings_.report_s / 10)),
+      cluster_(runtime, state_, settings_.peers, spans_of(settings_),
+               ms(settings_.heartbeat_interval_s / 10)),
       controller_(runtime, state_, cloud_, types_,
-                  workers::Client(http, ms(settings_.report_s / 3),
+                  workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
                                   static_cast<std::size_t>(settings_.fd_limit) / 16),
                   election_, status_reader_, cluster_, settings_, operator_),
       api_(runtime, state_, types_, election_, controller_, status_reader_, cluster_, peers,
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -149,7 +149,7 @@
     s.objectives.push_back(objective);
   }
   const Reader w = facts.table("workers");
-  s.report_s = w.positive("report_s");
+  s.heartbeat_interval_s = w.positive("report_s");
   s.lease_s = w.positive("lease_s");
   s.gang_wait_s = w.positive("gang_wait_s");
   s.gang_peer_s = w.positive("gang_peer_s");
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -44,7 +44,7 @@
   double skew_ms = 0;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
+  double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
   StateLimits state_limits;
   // Those that will hold from some moment on, without notice; as `state_limits` if none are named.
   StateLimits next_state_limits;
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -101,7 +101,7 @@
     if (result == JobStatusReader::Found::cannot) known.lookup = rpc::Lookup::unavailable;
     reply(known);
   };
-  ask_leader({0, id, false, ""}, net::ms(settings_.report_s / 5),
+  ask_leader({0, id, false, ""}, net::ms(settings_.heartbeat_interval_s / 5),
              [this, id, purpose, found, reply](const rpc::JobReply& a) {
                if (a.lookup != rpc::Lookup::unavailable) {
                  audit::answer(a.status, AnswerBasis::leader);
@@ -124,21 +124,23 @@
   if (const auto v = status_reader_.final_status(id))
     return answer({200, wire::accepted_json(*v), 0});
   // Only the leader ends jobs, so that none of its answers can be older than the final status.
-  ask_leader({0, id, true, ""}, net::ms(settings_.report_s), [answer](const rpc::JobReply& a) {
-    if (a.lookup == rpc::Lookup::unavailable) return answer(later("no leader can answer"));
-    if (a.lookup == rpc::Lookup::not_found) return answer(refusal(404, "no such job"));
-    if (a.status.stage != wire::Stage::cancelled && a.status.stage != wire::Stage::done)
-      return answer(later("not decided yet"));
-    audit::answer(a.status, AnswerBasis::leader);
-    answer({200, wire::accepted_json(a.status), 0});
-  });
+  ask_leader({0, id, true, ""}, net::ms(settings_.heartbeat_interval_s),
+             [answer](const rpc::JobReply& a) {
+               if (a.lookup == rpc::Lookup::unavailable)
+                 return answer(later("no leader can answer"));
+               if (a.lookup == rpc::Lookup::not_found) return answer(refusal(404, "no such job"));
+               if (a.status.stage != wire::Stage::cancelled && a.status.stage != wire::Stage::done)
+                 return answer(later("not decided yet"));
+               audit::answer(a.status, AnswerBasis::leader);
+               answer({200, wire::accepted_json(a.status), 0});
+             });
 }
 
 void ApiHandler::heartbeat(const net::Request& request, const Answer& answer) {
   election_.on_worker_heard();
   if (!election_.leading()) return answer({421, wire::redirect_answer(election_.leader()), 0});
   try {
-    const wire::WorkerReport report = wire::report_from(request.body);
+    const wire::Heartbeat report = wire::heartbeat_from(request.body);
     auto r = controller_.heartbeat(report);
     answer({r.status, std::move(r.body), 0, report.tasks.empty()});
   } catch (const wire::Malformed& e) {
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -70,7 +70,7 @@
   if (why.empty() && !storable(record)) why = "too large to be stored";
   if (!why.empty()) return refuse(id, why, answer);
   // More waits for the store than it can take before the user would give up.
-  if (state_.backlog(state::Urgency::final_status) > net::ms(settings_.report_s / 3))
+  if (state_.backlog(state::Urgency::final_status) > net::ms(settings_.heartbeat_interval_s / 3))
     return answer(later("busy"));
   if (job.dependencies.empty()) return accept_new(id, record, false, answer);
   check_dependencies(job.dependencies, [this, id, record, answer](Dependencies found) {
@@ -125,7 +125,7 @@
                         const Reply& reply) {
   const auto elsewhere = [this, id, forward, reply](const std::string& text) {
     if (!forward || election_.leading()) return reply({});
-    ask_leader({0, id, false, text}, net::ms(settings_.report_s / 5), reply);
+    ask_leader({0, id, false, text}, net::ms(settings_.heartbeat_interval_s / 5), reply);
   };
   if (forward && state_.seems_down() && !election_.leading()) return elsewhere(record.dump());
   state::Txn txn;
--- a/src/leader/absence.cc
+++ b/src/leader/absence.cc
@@ -12,7 +12,7 @@
   machine.inspecting = true;
   const std::uint64_t term = term_;
   workers_.inspect(machine.addr, [this, term, name = machine.name,
-                                  asked](const std::optional<wire::WorkerReport>& report) {
+                                  asked](const std::optional<wire::Heartbeat>& report) {
     Machine* inspected = term == term_ ? fleet_.find(name) : nullptr;
     if (!inspected) return;
     inspected->inspecting = false;
@@ -23,10 +23,10 @@
   });
 }
 
-void Controller::take_inspection(Machine& machine, const wire::WorkerReport& report,
+void Controller::take_inspection(Machine& machine, const wire::Heartbeat& report,
                                  const std::vector<AttemptId>& asked) {
-  std::map<AttemptId, const wire::TaskReport*> present;
-  for (const wire::TaskReport& task : report.tasks) present[id_of(task)] = &task;
+  std::map<AttemptId, const wire::TaskStatus*> present;
+  for (const wire::TaskStatus& task : report.tasks) present[id_of(task)] = &task;
   std::vector<TaskAttempt*> gone;
   std::vector<AttemptId> exited;
   for (const AttemptId& id : asked) {
--- a/src/leader/attempt_tracker.cc
+++ b/src/leader/attempt_tracker.cc
@@ -16,13 +16,13 @@
 }  // namespace
 
 TaskAttempt& AttemptTracker::add(JobRecord& job, std::uint32_t task, std::uint64_t number,
-                                 Machine& machine, std::uint64_t session) {
+                                 Machine& machine, std::uint64_t incarnation) {
   TaskAttempt& attempt = job.attempts[task];
   attempt.job = &job;
   attempt.task = task;
   attempt.number = number;
   attempt.machine = &machine;
-  attempt.session = session;
+  attempt.incarnation = incarnation;
   job.taken[task] = true;
   machine.attempts[{job.spec.id, task}] = &attempt;
   usage_[job.spec.team] += need_of(job.spec);
@@ -75,7 +75,7 @@
   bool any = false;
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task)) continue;
-    const bool session_over = attempt->session != machine.session;
+    const bool session_over = attempt->incarnation != machine.incarnation;
     const bool disappeared = heartbeat && attempt->seen;
     attempt->missing = attempt->missing || session_over || disappeared;
     any = any || attempt->missing;
@@ -84,10 +84,10 @@
 }
 
 // A report that lacks a task proves nothing by itself: it may have been held up since before the
-// machine ended and was back, and its session and count may be above those of the machine's present
-// life, in which the task runs. (That a report has the attempt as ended does prove it: attempts are
-// numbered once.) So the machine is asked what is on it now, by a request whose answer can come
-// from nobody else.
+// machine ended and was back, and its incarnation and count may be above those of the machine's
+// present life, in which the task runs. (That a report has the attempt as ended does prove it:
+// attempts are numbered once.) So the machine is asked what is on it now, by a request whose answer
+// can come from nobody else.
 std::vector<AttemptId> AttemptTracker::to_inspect(const Machine& machine) const {
   std::vector<AttemptId> ids;
   for (const auto& [task, attempt] : machine.attempts) {
--- a/src/leader/attempt_tracker.h
+++ b/src/leader/attempt_tracker.h
@@ -29,7 +29,7 @@
 
   // Takes the task, its room on the machine and its share of the team's limit.
   TaskAttempt& add(JobRecord& job, std::uint32_t task, std::uint64_t number, Machine& machine,
-                   std::uint64_t session);
+                   std::uint64_t incarnation);
   // Gives them back. The attempt no longer exists after this.
   void remove(TaskAttempt& attempt);
   void clear() { usage_.clear(); }
@@ -42,7 +42,7 @@
 
   // Notes which attempts a report of this machine lacks; true if any is missing now. A heartbeat
   // that lacks an attempt which was seen before raises the question, as does any report of another
-  // session; the answer to a command does not, since a start may be on its way beside it.
+  // incarnation; the answer to a command does not, since a start may be on its way beside it.
   static bool mark_missing(Machine& machine, const std::set<TaskId>& reported, bool heartbeat);
   // The missing attempts whose absence an inspection sent now would prove.
   std::vector<AttemptId> to_inspect(const Machine& machine) const;
--- a/src/leader/attempts.cc
+++ b/src/leader/attempts.cc
@@ -62,7 +62,7 @@
 
 // Long enough to save, and for the order to arrive.
 void Controller::stop_to_save(TaskAttempt& attempt, audit::StopReason why) {
-  attempts_.stop(attempt, attempt.job->spec.save_s + settings_.report_s / 3, why);
+  attempts_.stop(attempt, attempt.job->spec.save_s + settings_.heartbeat_interval_s / 3, why);
 }
 
 // `again`: also what was told to stop before, with this grace now.
@@ -114,7 +114,7 @@
   if (machine.failed_jobs.size() >= kMostFailed) machine.draining = true;
 }
 
-void Controller::task_exited(TaskAttempt& attempt, const wire::TaskReport& report) {
+void Controller::task_exited(TaskAttempt& attempt, const wire::TaskStatus& report) {
   spdlog::debug("{}/{} try {} on {} ended, cause {} told {}", report.job, report.index,
                 attempt.number, attempt.machine->name, static_cast<int>(report.cause),
                 attempt.stop);
@@ -123,7 +123,7 @@
   JobRecord& job = *attempt.job;
   Machine& machine = *attempt.machine;
   const Ms now = runtime_.now();
-  const Ms pause = net::ms(settings_.report_s);
+  const Ms pause = net::ms(settings_.heartbeat_interval_s);
   switch (report.cause) {
     case ExitCause::error:
       ++job.failures;
--- a/src/leader/audit_log.cc
+++ b/src/leader/audit_log.cc
@@ -119,12 +119,12 @@
   spdlog::debug("ready {}, the last that it depends on is {}", job, last_dependency);
 }
 
-void start(const AttemptId& attempt, const std::string& machine, std::uint64_t session,
+void start(const AttemptId& attempt, const std::string& machine, std::uint64_t incarnation,
            std::uint64_t epoch, bool in_heartbeat) {
   spdlog::debug(
-      "start {}/{} try {} on {} session {} by {}: epoch {}, assignment durable, nothing "
+      "start {}/{} try {} on {} incarnation {} by {}: epoch {}, assignment durable, nothing "
       "upstream open",
-      attempt.job, attempt.task, attempt.attempt, machine, session,
+      attempt.job, attempt.task, attempt.attempt, machine, incarnation,
       in_heartbeat ? "heartbeat" : "command", epoch);
 }
 
--- a/src/leader/audit_log.h
+++ b/src/leader/audit_log.h
@@ -52,7 +52,7 @@
 void record_durable(const std::string& job, const RecordId& record, state::Version revision);
 void final_status(const std::string& job, wire::Stage stage, state::Version revision);
 void ready(const std::string& job, const std::string& last_dependency);
-void start(const AttemptId& attempt, const std::string& machine, std::uint64_t session,
+void start(const AttemptId& attempt, const std::string& machine, std::uint64_t incarnation,
            std::uint64_t epoch, bool in_heartbeat);
 void stop(const AttemptId& attempt, const std::string& machine, StopReason why);
 void absent(const AttemptId& attempt, const std::string& machine, AbsenceProof proof);
--- a/src/leader/cluster_view.cc
+++ b/src/leader/cluster_view.cc
@@ -66,10 +66,10 @@
     v.open = m.up && !m.deleting && !m.draining && !m.taken_at && m.unknown_tasks == 0 &&
              now >= m.suspect_until && now - m.heard < fresh;
     // (One that reports shows within a report that it hears us, or it is no machine on its way.)
-    v.booting =
-        !m.up && !m.deleting && m.attempts.empty() &&
-        (m.first_heartbeat_at < 0 ? now - m.since < net::ms(2 * type->boot_s)
-                                  : now - m.first_heartbeat_at < net::ms(settings_.report_s));
+    v.booting = !m.up && !m.deleting && m.attempts.empty() &&
+                (m.first_heartbeat_at < 0
+                     ? now - m.since < net::ms(2 * type->boot_s)
+                     : now - m.first_heartbeat_at < net::ms(settings_.heartbeat_interval_s));
     v.claimed_by.clear();
     if (now < m.claimed_until && jobs_.contains(m.claimed_by)) v.claimed_by = m.claimed_by;
   }
--- a/src/leader/commands.cc
+++ b/src/leader/commands.cc
@@ -32,16 +32,16 @@
   // A worker that began anew just now runs what it is told until its own lease is over, whether its
   // answer comes or not.
   if (!starts.empty()) machine.last_command_ack_at = runtime_.now();
-  workers_.send(machine.addr, election_.epoch(), machine.session, commands,
+  workers_.send(machine.addr, election_.epoch(), machine.incarnation, commands,
                 [this, term = term_, name = machine.name, starts](
-                    workers::Sent sent, const std::optional<wire::WorkerReport>& report) {
+                    workers::Sent sent, const std::optional<wire::Heartbeat>& report) {
                   if (term == term_) take_command_answer(name, starts, sent, report);
                 });
 }
 
 void Controller::take_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
                                      workers::Sent sent,
-                                     const std::optional<wire::WorkerReport>& report) {
+                                     const std::optional<wire::Heartbeat>& report) {
   for (const AttemptId& id : starts)
     if (TaskAttempt* attempt = find_attempt(id)) --attempt->in_flight;
   Machine* machine = fleet_.find(name);
@@ -59,7 +59,7 @@
   if (!report || report->machine != name) return;
   if (report->token > election_.epoch())
     return election_.lost(audit::Deposed::worker_shows_higher_epoch);
-  take_report(*machine, *report, false);
+  reconcile(*machine, *report, false);
 }
 
 // A machine can be heard and yet not hear us. New starts avoid it for a while; if it is the same
@@ -93,14 +93,14 @@
     // Those beyond the bound travel in the answer to the next heartbeat, of which no copy comes
     // late.
     if (machine.started.size() >= kMostUnforgettable) continue;
-    if (machine.session != attempt->session) {
+    if (machine.incarnation != attempt->incarnation) {
       off.push_back(attempt);  // never sent, and void now
       continue;
     }
     attempt->sent = true;
     attempt->start_sent_at = runtime_.now();
     ++attempt->in_flight;
-    audit::start(name, machine.name, machine.session, election_.epoch(), false);
+    audit::start(name, machine.name, machine.incarnation, election_.epoch(), false);
     add_start(machine, name, by_machine[&machine]);
   }
   for (const auto& [machine, commands] : by_machine) send(*machine, commands);
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -33,7 +33,7 @@
            [this] { cluster_.finalize(); }}),
       fleet_(runtime, cloud, types, settings, op, [this](Machine& m) { forget_machine(m); }),
       layout_(cluster.spans()),
-      dependencies_(runtime, status_reader, net::ms(settings.report_s / 10),
+      dependencies_(runtime, status_reader, net::ms(settings.heartbeat_interval_s / 10),
                     {[this](const std::string& id, const std::string& dependency) {
                        job_ready(id, dependency);
                      },
@@ -170,7 +170,7 @@
     job.waiters.push_back(std::move(reply));
     // Whoever asked is told soon to come again, while the rest goes on.
     const std::uint64_t term = term_;
-    runtime_.after(net::ms(settings_.report_s / 3), [this, term, id] {
+    runtime_.after(net::ms(settings_.heartbeat_interval_s / 3), [this, term, id] {
       JobRecord* late = term == term_ ? find_job(id) : nullptr;
       if (!late) return;
       for (const auto& w : std::exchange(late->waiters, {})) w({});
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -52,7 +52,7 @@
   void begin();
   void stop();
 
-  HeartbeatAnswer heartbeat(const wire::WorkerReport& report);
+  HeartbeatAnswer heartbeat(const wire::Heartbeat& report);
   // News that a job was accepted, from this node or another.
   void on_accepted(const std::string& id, const wire::Json& record, state::Version version);
   // A poll or a cancellation; `cannot` unless the lease surely holds.
@@ -115,29 +115,29 @@
   void machine_gone(Machine& machine, audit::AbsenceProof proof);
   void forget_machine(Machine& machine);
   void record_failure(JobRecord& job, Machine& machine);
-  void task_exited(TaskAttempt& attempt, const wire::TaskReport& report);
+  void task_exited(TaskAttempt& attempt, const wire::TaskStatus& report);
   void task_done(TaskAttempt& attempt);
 
   // Reports of workers: heartbeats.cc.
-  void take_report(Machine& machine, const wire::WorkerReport& report, bool heartbeat);
-  void take_machine_state(Machine& machine, const wire::WorkerReport& report);
+  void reconcile(Machine& machine, const wire::Heartbeat& report, bool heartbeat);
+  void update_machine_state(Machine& machine, const wire::Heartbeat& report);
   TaskAttempt* adopt(Machine& machine, const AttemptId& id);
-  void take_exits(Machine& machine, const std::vector<const wire::TaskReport*>& exited);
-  bool may_forget(const Machine& machine, const wire::TaskReport& task) const;
-  std::vector<wire::Command> orders_for(Machine& machine, const wire::WorkerReport& report);
+  void take_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited);
+  bool may_forget(const Machine& machine, const wire::TaskStatus& task) const;
+  std::vector<wire::Command> orders_for(Machine& machine, const wire::Heartbeat& report);
   void add_starts(Machine& machine, const std::set<TaskId>& reported,
                   std::vector<wire::Command>& orders);
 
   // Missing attempts: absence.cc.
   void confirm_missing(Machine& machine);
-  void take_inspection(Machine& machine, const wire::WorkerReport& report,
+  void take_inspection(Machine& machine, const wire::Heartbeat& report,
                        const std::vector<AttemptId>& asked);
 
   // Commands to workers: commands.cc.
   void send(Machine& machine, const std::vector<wire::Command>& commands);
   void send_stops(const std::vector<TaskAttempt*>& attempts);
   void take_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
-                           workers::Sent sent, const std::optional<wire::WorkerReport>& report);
+                           workers::Sent sent, const std::optional<wire::Heartbeat>& report);
   void unanswered(Machine& machine);
   void starts_durable(const std::string& id, const std::vector<AttemptId>& assigned);
   static void add_start(const Machine& machine, const AttemptId& id,
--- a/src/leader/fleet.cc
+++ b/src/leader/fleet.cc
@@ -144,7 +144,7 @@
 }
 
 bool Fleet::is_overdue(const Machine& machine) const {
-  return silence(machine) > net::ms(kOverdueReports * settings_.report_s);
+  return silence(machine) > net::ms(kOverdueReports * settings_.heartbeat_interval_s);
 }
 
 double Fleet::boot_s(const Machine& machine) const {
--- a/src/leader/fleet.h
+++ b/src/leader/fleet.h
@@ -32,8 +32,8 @@
   net::Ms listed_up = -1;           // first listed as running in this term; -1: not yet
   // The first command without an answer since the last with one.
   std::optional<net::Ms> unresponsive_since;
-  std::uint64_t session = 0, seq = 0, token = 0;
-  // Session and seq of the latest check-in that showed this leader's epoch, and of the latest
+  std::uint64_t incarnation = 0, sequence = 0, token = 0;
+  // Session and sequence of the latest check-in that showed this leader's epoch, and of the latest
   // that did not.
   std::pair<std::uint64_t, std::uint64_t> last_heartbeat, last_unconfirmed_heartbeat;
   net::Ms last_command_ack_at = -1;  // last command that was, or may have been, executed; -1: none
@@ -48,8 +48,8 @@
   std::size_t unknown_tasks = 0;  // reported tasks that no attempt accounts for
   std::set<std::string> images;
   std::set<AttemptId> exited;  // reported as ended and not forgotten yet
-  // Starts sent to /commands in this session: until it changes, each may be executed late, or once
-  // more by a late copy. The worker ignores it for as long as it knows the attempt.
+  // Starts sent to /commands in this incarnation: until it changes, each may be executed late, or
+  // once more by a late copy. The worker ignores it for as long as it knows the attempt.
   std::set<AttemptId> started;
   // Its place among the snapshot's machines, and whether it has changed since it was drawn there.
   std::size_t slot = kNoSlot;
--- a/src/leader/heartbeats.cc
+++ b/src/leader/heartbeats.cc
@@ -13,12 +13,13 @@
 
 namespace {
 // Than the last report that was taken from this machine.
-bool is_newer(const wire::WorkerReport& report, const Machine& machine) {
-  return std::pair(report.session, report.seq) > std::pair(machine.session, machine.seq);
+bool is_newer(const wire::Heartbeat& report, const Machine& machine) {
+  return std::pair(report.incarnation, report.sequence) >
+         std::pair(machine.incarnation, machine.sequence);
 }
 }  // namespace
 
-HeartbeatAnswer Controller::heartbeat(const wire::WorkerReport& report) {
+HeartbeatAnswer Controller::heartbeat(const wire::Heartbeat& report) {
   if (!active_ || !election_.may_answer()) return {503, "{}"};
   if (report.token > election_.epoch()) {  // another leads already
     election_.lost(audit::Deposed::worker_shows_higher_epoch);
@@ -32,7 +33,7 @@
     machine.zone = report.zone;
     machine.spot = report.spot;
   }
-  const std::pair position{report.session, report.seq};
+  const std::pair position{report.incarnation, report.sequence};
   if (report.token < election_.epoch()) {
     // It has not heard this leader. Or it is a late copy, perhaps from a former life of the machine
     // with more sessions than this one: so it is answered, to be heard, and proves nothing.
@@ -42,9 +43,9 @@
       return {503, "{}"};
     machine.last_unconfirmed_heartbeat = position;
     machine.note_heartbeat(runtime_.now());
-    return {200, wire::checkin_answer(election_.epoch(), {})};
+    return {200, wire::heartbeat_answer(election_.epoch(), {})};
   }
-  if (report.session < machine.session) return {503, "{}"};
+  if (report.incarnation < machine.incarnation) return {503, "{}"};
   // A copy that comes late is no sign of life: its worker got the answer to the first, or none. But
   // it may also be a machine that ended and was back at once, counting from the start again. So it
   // gets no answer that renews a lease: every one that does must count as heard.
@@ -53,19 +54,19 @@
   machine.note_heartbeat(runtime_.now());
   // (The answer to a command may have overtaken it.)
   if (!loaded_ || !is_newer(report, machine))
-    return {200, wire::checkin_answer(election_.epoch(), {})};
-  take_report(machine, report, true);
-  return {200, wire::checkin_answer(election_.epoch(), orders_for(machine, report))};
+    return {200, wire::heartbeat_answer(election_.epoch(), {})};
+  reconcile(machine, report, true);
+  return {200, wire::heartbeat_answer(election_.epoch(), orders_for(machine, report))};
 }
 
-void Controller::take_report(Machine& machine, const wire::WorkerReport& report, bool heartbeat) {
+void Controller::reconcile(Machine& machine, const wire::Heartbeat& report, bool heartbeat) {
   if (!is_newer(report, machine) || report.token < election_.epoch()) return;
-  take_machine_state(machine, report);
+  update_machine_state(machine, report);
   std::set<TaskId> reported;
-  std::vector<const wire::TaskReport*> exited;
+  std::vector<const wire::TaskStatus*> exited;
   machine.unknown_tasks = 0;
   machine.exited.clear();
-  for (const wire::TaskReport& task : report.tasks) {
+  for (const wire::TaskStatus& task : report.tasks) {
     const AttemptId id = id_of(task);
     if (task.state == TaskState::exited) machine.exited.insert(id);
     TaskAttempt* attempt = find_on(machine, id);
@@ -89,10 +90,10 @@
   if (any_missing) confirm_missing(machine);
 }
 
-void Controller::take_machine_state(Machine& machine, const wire::WorkerReport& report) {
-  if (report.session > machine.session) machine.started.clear();
-  machine.session = report.session;
-  machine.seq = report.seq;
+void Controller::update_machine_state(Machine& machine, const wire::Heartbeat& report) {
+  if (report.incarnation > machine.incarnation) machine.started.clear();
+  machine.incarnation = report.incarnation;
+  machine.sequence = report.sequence;
   machine.token = report.token;
   if (!machine.up) {  // it lives now, and hears us
     machine.up = true;
@@ -112,7 +113,7 @@
     ++machine.unknown_tasks;
     return nullptr;
   }
-  TaskAttempt& attempt = attempts_.add(*job, id.task, id.attempt, machine, machine.session);
+  TaskAttempt& attempt = attempts_.add(*job, id.task, id.attempt, machine, machine.incarnation);
   attempt.durable = attempt.sent = true;
   job->last_attempt = std::max(job->last_attempt, id.attempt);
   record_changed(id.job, id.task, Urgency::assignment);
@@ -122,9 +123,9 @@
 }
 
 // Releasing can end jobs and move others, so this goes by name.
-void Controller::take_exits(Machine& machine, const std::vector<const wire::TaskReport*>& exited) {
+void Controller::take_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited) {
   std::set<std::string> jobs;
-  for (const wire::TaskReport* task : exited) {
+  for (const wire::TaskStatus* task : exited) {
     jobs.insert(task->job);
     TaskAttempt* attempt = find_on(machine, id_of(*task));
     if (attempt) task_exited(*attempt, *task);
@@ -137,7 +138,7 @@
 // Once it is forgotten the copy would start it again: an attempt that ended without a result while
 // another runs elsewhere, and any of a cancelled job. (One that is done would only say so again,
 // but its job may be cancelled yet.)
-bool Controller::may_forget(const Machine& machine, const wire::TaskReport& task) const {
+bool Controller::may_forget(const Machine& machine, const wire::TaskStatus& task) const {
   if (!machine.started.contains(id_of(task))) return true;
   if (task.cause != ExitCause::done) return false;
   const JobRecord* job = find_job(task.job);
@@ -146,12 +147,11 @@
   return final_status && final_status->stage == wire::Stage::done;
 }
 
-std::vector<wire::Command> Controller::orders_for(Machine& machine,
-                                                  const wire::WorkerReport& report) {
+std::vector<wire::Command> Controller::orders_for(Machine& machine, const wire::Heartbeat& report) {
   std::vector<wire::Command> orders;
   std::set<TaskId> reported;
   const Ms now = runtime_.now();
-  for (const wire::TaskReport& task : report.tasks) {
+  for (const wire::TaskStatus& task : report.tasks) {
     const AttemptId id = id_of(task);
     const TaskAttempt* attempt = find_on(machine, id);
     if (task.state == TaskState::exited) {
@@ -182,10 +182,10 @@
                             std::vector<wire::Command>& orders) {
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task) || attempt->seen || !attempt->durable) continue;
-    if (attempt->in_flight > 0 || attempt->session != machine.session) continue;
+    if (attempt->in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
     if (attempt->job->ending && !attempt->stop) continue;
     attempt->start_sent_at = runtime_.now();
-    audit::start(attempt->id(), machine.name, machine.session, election_.epoch(), true);
+    audit::start(attempt->id(), machine.name, machine.incarnation, election_.epoch(), true);
     orders.push_back(command_for(Verb::start, attempt->id()));
     if (attempt->stop) {
       // It was never seen, and its start may come at any time. Started and stopped in one go, the
--- a/src/leader/ids.h
+++ b/src/leader/ids.h
@@ -30,7 +30,7 @@
   }
 };
 
-inline AttemptId id_of(const wire::TaskReport& report) {
+inline AttemptId id_of(const wire::TaskStatus& report) {
   return {report.job, report.index, report.attempt};
 }
 
--- a/src/leader/job_record.h
+++ b/src/leader/job_record.h
@@ -27,7 +27,7 @@
   std::uint32_t task = 0;
   std::uint64_t number = 0;
   Machine* machine = nullptr;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   bool durable = false;
   bool sent = false;  // a start may have reached the worker
   bool seen = false;
--- a/src/leader/planning.cc
+++ b/src/leader/planning.cc
@@ -86,7 +86,7 @@
   evict(d);
   for (const sched::Batch& b : d.starts) start(*jobs[b.job], b.tasks);
   // Renting is paced: what is asked of the cloud takes far longer than the pause.
-  if (now - last_rental_ >= net::ms(settings_.report_s / 3)) {
+  if (now - last_rental_ >= net::ms(settings_.heartbeat_interval_s / 3)) {
     last_rental_ = now;
     plan();
   }
@@ -95,7 +95,7 @@
   // replaced until nothing else is done in time, the renewal of the lease included.
   const Ms after = runtime_.now();
   next_pass_ = after + std::max(kPassRest * (after - began + lateness),
-                                net::ms(kPassPause * settings_.report_s));
+                                net::ms(kPassPause * settings_.heartbeat_interval_s));
 }
 
 void Controller::touch(std::size_t slot) {
@@ -204,7 +204,7 @@
     Machine* m = fleet_.find(snapshot_.machines[e.machine].name);
     if (!m) continue;
     m->claimed_by = snapshot_.jobs[e.job].id;
-    m->claimed_until = runtime_.now() + net::ms(grace + 2 * settings_.report_s);
+    m->claimed_until = runtime_.now() + net::ms(grace + 2 * settings_.heartbeat_interval_s);
     spdlog::debug("clearing {} of {} tasks for {}", m->name, e.tasks.size(), m->claimed_by);
   }
   send_stops(stops);
@@ -251,7 +251,7 @@
   const std::size_t most = 1 + fleet_.machines().size() / kEmptiedShare;
   std::vector<TaskAttempt*> stops;
   for (const std::size_t i :
-       sched::emptied(snapshot_, settings_.report_s / 3, kEmptiedWorth, most)) {
+       sched::emptied(snapshot_, settings_.heartbeat_interval_s / 3, kEmptiedWorth, most)) {
     Machine* m = fleet_.find(snapshot_.machines[i].name);
     if (!m || kept_.contains(m->name)) continue;
     m->draining = true;
@@ -276,7 +276,7 @@
     Machine* m = fleet_.find(snapshot_.machines[x.machine].name);
     if (!m) continue;
     m->stale = true;
-    attempts_.add(job, x.task, attempt, *m, m->session);
+    attempts_.add(job, x.task, attempt, *m, m->incarnation);
     all.push_back({job.spec.id, x.task, attempt});
     by_record[layout_.record_of(x.task)].push_back(all.back());
   }
--- a/src/leader/recovery.cc
+++ b/src/leader/recovery.cc
@@ -17,9 +17,10 @@
   state_.list(prefix, after, [this, term, prefix, after, first](const state::ListResult& r) {
     if (term != term_) return;
     if (r.outcome != Outcome::ok) {
-      runtime_.after(net::ms(settings_.report_s / 10), [this, term, prefix, after, first] {
-        if (term == term_) load(prefix, after, first);
-      });
+      runtime_.after(net::ms(settings_.heartbeat_interval_s / 10),
+                     [this, term, prefix, after, first] {
+                       if (term == term_) load(prefix, after, first);
+                     });
       return;
     }
     const bool open = prefix == "open/";
@@ -139,7 +140,7 @@
   for (const Assignment& assigned : record.assignments) {
     if (is_other(assigned.task) || job.attempts.contains(assigned.task)) continue;
     TaskAttempt& attempt = attempts_.add(job, assigned.task, assigned.attempt,
-                                         fleet_.ensure(assigned.machine), assigned.session);
+                                         fleet_.ensure(assigned.machine), assigned.incarnation);
     attempt.durable = attempt.sent = true;
   }
 }
@@ -154,7 +155,7 @@
                    return load("open/", "", true);
                  }
                  if (r.outcome != Outcome::ok) {
-                   runtime_.after(net::ms(settings_.report_s / 10), [this, term] {
+                   runtime_.after(net::ms(settings_.heartbeat_interval_s / 10), [this, term] {
                      if (term == term_) watch();
                    });
                    return;
--- a/src/leader/task_record.cc
+++ b/src/leader/task_record.cc
@@ -68,7 +68,7 @@
 Json encode(const TaskRecord& record) {
   Json tasks = Json::array();
   for (const Assignment& a : record.assignments)
-    tasks.push_back({a.task, a.attempt, a.machine, a.session});
+    tasks.push_back({a.task, a.attempt, a.machine, a.incarnation});
   // "span" is not read by the versions that know chunks alone.
   Json value{{"attempt", record.last_attempt},
              {"tasks", std::move(tasks)},
--- a/src/leader/task_record.h
+++ b/src/leader/task_record.h
@@ -18,7 +18,7 @@
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   std::string machine;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
 };
 
 struct TaskRecord {
--- a/src/leader/task_records.cc
+++ b/src/leader/task_records.cc
@@ -51,7 +51,7 @@
   const auto end = job->attempts.lower_bound(held.range.end);
   for (auto entry = job->attempts.lower_bound(held.range.first); entry != end; ++entry) {
     const auto& [task, attempt] = *entry;
-    held.assignments.push_back({task, attempt.number, attempt.machine->name, attempt.session});
+    held.assignments.push_back({task, attempt.number, attempt.machine->name, attempt.incarnation});
   }
   if (job->ended && held.assignments.empty()) return std::nullopt;
   held.last_attempt = job->last_attempt;
--- a/src/leader/upkeep.cc
+++ b/src/leader/upkeep.cc
@@ -27,7 +27,7 @@
 // until the sockets have been read.
 bool Controller::is_isolated() {
   const Ms now = runtime_.now();
-  const bool in_time = now - ticked_ < net::ms(settings_.report_s);
+  const bool in_time = now - ticked_ < net::ms(settings_.heartbeat_interval_s);
   ticked_ = now;
   std::size_t due = 0;
   std::size_t silent = 0;
@@ -45,7 +45,7 @@
 
 void Controller::tick() {
   const std::uint64_t term = term_;
-  const Ms due = runtime_.now() + net::ms(settings_.report_s / 3);
+  const Ms due = runtime_.now() + net::ms(settings_.heartbeat_interval_s / 3);
   runtime_.after(due - runtime_.now(), [this, term, due] {
     if (term != term_) return;
     lateness_ = runtime_.now() - due;
@@ -142,7 +142,7 @@
     for (const auto& [key, c] : m.attempts) {
       const wire::Job& spec = c->job->spec;
       if (c->stop || !c->sent || spec.checkpoint_s <= 0) continue;
-      const double margin = spec.save_s + settings_.gang_peer_s + settings_.report_s;
+      const double margin = spec.save_s + settings_.gang_peer_s + settings_.heartbeat_interval_s;
       if (now + net::ms(margin) < *m.taken_at) continue;
       if (c->job->gang()) {
         gangs.emplace(spec.id, c->job);
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -252,21 +252,21 @@
   return Json{{"ref", s.id}, {"stage", stage_name(s.stage)}}.dump();
 }
 
-WorkerReport report_from(std::string_view text) {
+Heartbeat heartbeat_from(std::string_view text) {
   const Json o = parse_object(text);
-  WorkerReport r;
+  Heartbeat r;
   r.machine = short_text(o, "host");
   r.addr = short_text(o, "addr");
   r.type = short_text(o, "barrel");
   r.zone = short_text(o, "cellar");
   r.spot = flag_field(o, "lent_racks");
-  r.session = count_field(o, "shift");
-  r.seq = count_field(o, "tally");
+  r.incarnation = count_field(o, "shift");
+  r.sequence = count_field(o, "tally");
   r.token = count_field(o, "warrant");
   if (!absent(o, "recall_s")) r.notice_s = amount_field(o, "recall_s");
   for (const Json& t : list_field(o, "pours")) {
     if (!t.is_object()) throw Malformed("pours: not an object");
-    TaskReport task;
+    TaskStatus task;
     std::tie(task.job, task.index) = task_name(text_field(t, "pour"));
     task.attempt = count_field(t, "try");
     task.state = value_of(kTaskStates, text_field(t, "stage"), "stage");
@@ -278,13 +278,13 @@
   return r;
 }
 
-std::string checkin_answer(std::uint64_t token, const std::vector<Command>& commands) {
+std::string heartbeat_answer(std::uint64_t token, const std::vector<Command>& commands) {
   return Json{{"warrant", token}, {"orders", orders_json(commands)}}.dump();
 }
 
-std::string commands_body(std::uint64_t token, std::uint64_t session,
+std::string commands_body(std::uint64_t token, std::uint64_t incarnation,
                           const std::vector<Command>& commands) {
-  return Json{{"warrant", token}, {"shift", session}, {"orders", orders_json(commands)}}.dump();
+  return Json{{"warrant", token}, {"shift", incarnation}, {"orders", orders_json(commands)}}.dump();
 }
 
 std::string redirect_answer(const std::string& node) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -36,9 +36,9 @@
 const char* stage_name(Stage stage);
 Stage stage_from(std::string_view name);
 
-WorkerReport report_from(std::string_view text);
-std::string checkin_answer(std::uint64_t token, const std::vector<Command>& commands);
-std::string commands_body(std::uint64_t token, std::uint64_t session,
+Heartbeat heartbeat_from(std::string_view text);
+std::string heartbeat_answer(std::uint64_t token, const std::vector<Command>& commands);
+std::string commands_body(std::uint64_t token, std::uint64_t incarnation,
                           const std::vector<Command>& commands);
 std::string redirect_answer(const std::string& node);
 
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -44,7 +44,7 @@
   std::uint64_t done = 0, running = 0;
 };
 
-struct TaskReport {
+struct TaskStatus {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
@@ -53,12 +53,12 @@
   bool saved = false;
 };
 
-struct WorkerReport {
+struct Heartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
+  std::uint64_t incarnation = 0, sequence = 0, token = 0;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
 struct Command {
--- a/src/workers/client.cc
+++ b/src/workers/client.cc
@@ -4,9 +4,9 @@
 
 namespace {
 
-std::optional<wire::WorkerReport> report_of(const net::Reply& reply) {
+std::optional<wire::Heartbeat> report_of(const net::Reply& reply) {
   try {
-    return wire::report_from(reply.body);
+    return wire::heartbeat_from(reply.body);
   } catch (const wire::Malformed&) {
     return std::nullopt;
   }
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-void Client::send(const std::string& addr, std::uint64_t token, std::uint64_t session,
+void Client::send(const std::string& addr, std::uint64_t token, std::uint64_t incarnation,
                   const std::vector<wire::Command>& commands, Done done) {
-  enqueue({addr, "POST", "/commands", wire::commands_body(token, session, commands), timeout_},
+  enqueue({addr, "POST", "/commands", wire::commands_body(token, incarnation, commands), timeout_},
           [done = std::move(done)](const net::Reply& reply) {
             if (reply.fate == net::Reply::Fate::not_sent) return done(Sent::not_sent, {});
             if (reply.is(200)) return done(Sent::executed, report_of(reply));
--- a/src/workers/client.h
+++ b/src/workers/client.h
@@ -16,19 +16,19 @@
   executed,  // 200
   rejected,  // 409: nothing executed, and a copy would be rejected as well
   not_sent,
-  unknown,  // may be executed late, while token and session still match
+  unknown,  // may be executed late, while token and incarnation still match
 };
 
 class Client {
  public:
-  using Done = std::function<void(Sent, std::optional<wire::WorkerReport>)>;
-  using Inspected = std::function<void(std::optional<wire::WorkerReport>)>;
+  using Done = std::function<void(Sent, std::optional<wire::Heartbeat>)>;
+  using Inspected = std::function<void(std::optional<wire::Heartbeat>)>;
 
   // most: messages on their way at once, each of which may need a socket.
   Client(net::HttpCaller& http, net::Ms timeout, std::size_t most)
       : http_(http), timeout_(timeout), most_(most) {}
 
-  void send(const std::string& addr, std::uint64_t token, std::uint64_t session,
+  void send(const std::string& addr, std::uint64_t token, std::uint64_t incarnation,
             const std::vector<wire::Command>& commands, Done done);
   // Reads what is on the worker now; nothing if it does not answer.
   void inspect(const std::string& addr, Inspected done);
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -118,7 +118,7 @@
 TEST_F(AttemptTrackerTest, AnAnswerToACommandRaisesNoQuestionAboutItsOwnSession) {
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
-  machine.session = 4;
+  machine.incarnation = 4;
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 4);
   attempt.seen = true;
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, false));
@@ -129,10 +129,10 @@
 TEST_F(AttemptTrackerTest, AnAttemptThatWasNeverSeenIsMissingOnlyOnceItsSessionIsOver) {
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
-  machine.session = 4;
+  machine.incarnation = 4;
   tracker.add(record, 0, 1, machine, 4);
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, true));
-  machine.session = 5;
+  machine.incarnation = 5;
   EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, false));
 }
 
--- a/tests/copies_test.cc
+++ b/tests/copies_test.cc
@@ -260,7 +260,7 @@
   w.net.call("user", alive, {machine + ":9000", "GET", "/inspect", "", 1000},
              [&ended](const net::Reply& reply) {
                ended = 0;
-               for (const auto& task : wire::report_from(reply.body).tasks)
+               for (const auto& task : wire::heartbeat_from(reply.body).tasks)
                  ended += task.state == wire::TaskState::exited ? 1 : 0;
              });
   w.time.run_for(1000);
--- a/tests/formats_messages_test.cc
+++ b/tests/formats_messages_test.cc
@@ -39,22 +39,22 @@
 {"pour":"wk-8802/0","try":5,"stage":"ended","exit_cause":"done","kept":true}]})";
 
 TEST(Formats, ReadsTheMachineOfAHeartbeat) {
-  const wire::WorkerReport report = wire::report_from(kHeartbeat);
+  const wire::Heartbeat report = wire::heartbeat_from(kHeartbeat);
 
   EXPECT_EQ(report.machine, "m-000051");
   EXPECT_EQ(report.addr, "10.9.8.7:9100");
   EXPECT_EQ(report.type, "t-large");
   EXPECT_EQ(report.zone, "zone-3");
   EXPECT_TRUE(report.spot);
-  EXPECT_EQ(report.session, 3U);
-  EXPECT_EQ(report.seq, 205U);
+  EXPECT_EQ(report.incarnation, 3U);
+  EXPECT_EQ(report.sequence, 205U);
   EXPECT_EQ(report.token, 91U);
   EXPECT_EQ(report.notice_s, 12.5);
 }
 
 TEST(Formats, ReadsTheTasksOfAHeartbeat) {
   using wire::TaskState;
-  const wire::WorkerReport report = wire::report_from(kHeartbeat);
+  const wire::Heartbeat report = wire::heartbeat_from(kHeartbeat);
 
   ASSERT_EQ(report.tasks.size(), 5U);
   const std::vector<TaskState> states{TaskState::fetching, TaskState::waiting, TaskState::running,
@@ -78,13 +78,13 @@
   for (const auto& [word, cause] : causes) {
     wire::Json report = wire::Json::parse(kHeartbeat);
     report["pours"][4]["exit_cause"] = word;
-    EXPECT_EQ(wire::report_from(report.dump()).tasks.at(4).cause, cause) << word;
+    EXPECT_EQ(wire::heartbeat_from(report.dump()).tasks.at(4).cause, cause) << word;
   }
 }
 
 TEST(Formats, ReadsAHeartbeatOfAnIdleMachineWithoutNotice) {
   for (const char* notice : {R"("recall_s":null,)", ""}) {
-    const wire::WorkerReport report = wire::report_from(
+    const wire::Heartbeat report = wire::heartbeat_from(
         std::string(R"({"host":"m-000052","addr":"10.9.8.6:9100","barrel":"t-small",)") + notice +
         R"("cellar":"zone-4","lent_racks":false,"shift":1,"tally":1,"warrant":0,"pours":[]})");
     EXPECT_FALSE(report.notice_s) << notice;
@@ -99,9 +99,9 @@
 
 TEST(Formats, AnswersHeartbeatsAsBefore) {
   EXPECT_EQ(
-      wire::checkin_answer(91, kCommands),
+      wire::heartbeat_answer(91, kCommands),
       R"({"orders":[{"pour":"wk-8801/4","try":2,"verb":"run"},{"pour":"wk-8802/0","try":7,"verb":"halt","wind_down_s":12.5},{"pour":"wk-8803/99999","try":1,"verb":"reap"}],"warrant":91})");
-  EXPECT_EQ(wire::checkin_answer(91, {}), R"({"orders":[],"warrant":91})");
+  EXPECT_EQ(wire::heartbeat_answer(91, {}), R"({"orders":[],"warrant":91})");
 }
 
 TEST(Formats, SendsCommandsAsBefore) {
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -180,11 +180,11 @@
 }
 
 void expect_assignment(const leader::Assignment& assignment, std::uint32_t task,
-                       std::uint64_t attempt, const char* machine, std::uint64_t session) {
+                       std::uint64_t attempt, const char* machine, std::uint64_t incarnation) {
   EXPECT_EQ(assignment.task, task);
   EXPECT_EQ(assignment.attempt, attempt);
   EXPECT_EQ(assignment.machine, machine);
-  EXPECT_EQ(assignment.session, session);
+  EXPECT_EQ(assignment.incarnation, incarnation);
 }
 
 TEST(Formats, ReadsASegmentAndWritesItAlike) {
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -405,7 +405,7 @@
   w.expect_rules();
 }
 
-// Two machines; the first has more than one session behind it, and one of its old reports comes
+// Two machines; the first has more than one incarnation behind it, and one of its old reports comes
 // back later.
 struct FormerLife {
   explicit FormerLife(World& w) : w(w) {
@@ -441,7 +441,7 @@
 };
 
 // A copy of a report of a machine's former life, with more sessions than the present one, reaches
-// the next leader: it does not end the session in which the machine runs its tasks.
+// the next leader: it does not end the incarnation in which the machine runs its tasks.
 TEST(MeetingsOfTwo, ReportOfAFormerLifeEndsNoSession) {
   World w(1, 2);
   FormerLife life(w);
@@ -465,7 +465,8 @@
   w.expect_rules();
 }
 
-// The records name a session that the machine has not reached again: its tasks are not waited for.
+// The records name a incarnation that the machine has not reached again: its tasks are not waited
+// for.
 TEST(MeetingsOfTwo, SessionOfAFormerLifeIsNotWaitedFor) {
   World w(1, 2);
   FormerLife life(w);
--- a/tests/standins/workers.h
+++ b/tests/standins/workers.h
@@ -224,7 +224,7 @@
                       {"barrel", type_},
                       {"cellar", zone_},
                       {"lent_racks", spot_},
-                      {"shift", session_},
+                      {"shift", incarnation_},
                       {"tally", ++seq_},
                       {"warrant", token_},
                       {"recall_s", notice ? wire::Json(*notice) : wire::Json()},
@@ -234,16 +234,16 @@
 
   void report() {
     const Ms sent = now();
-    const std::uint64_t session = session_;
+    const std::uint64_t incarnation = incarnation_;
     net_.call(name_, alive_, {nodes_[node_] + ":8080", "POST", "/checkin", report_body(), 4000},
-              [this, sent, session](const net::Reply& r) {
+              [this, sent, incarnation](const net::Reply& r) {
                 Ms pause = 1000;
                 if (hung()) {
                   // Too late by the time it could be read.
                 } else if (r.is(200)) {
                   // A higher token is a change, and reported soon.
                   const std::uint64_t before = token_;
-                  take(wire::Json::parse(r.body), sent, session);
+                  take(wire::Json::parse(r.body), sent, incarnation);
                   pause = token_ > before ? 500 : timing_.report;
                 } else if (r.is(421)) {
                   const std::string to = wire::Json::parse(r.body).value("steward", "");
@@ -261,9 +261,9 @@
               });
   }
 
-  void take(const wire::Json& o, Ms sent, std::uint64_t session) {
+  void take(const wire::Json& o, Ms sent, std::uint64_t incarnation) {
     const std::uint64_t token = o.value("warrant", std::uint64_t{0});
-    if (token < token_ || token == 0 || session != session_) return;
+    if (token < token_ || token == 0 || incarnation != incarnation_) return;
     token_ = token;
     answered_sent_ = std::max(answered_sent_, sent);
     obey(o.at("orders"));
@@ -273,7 +273,7 @@
     if (hung()) return after(hung_until_ - now(), [this, r, answer] { handle(r, answer); });
     if (r.path == "/inspect") return answer({200, report_body(), 0});
     const auto o = wire::Json::parse(r.body);
-    if (o.at("warrant").get<std::uint64_t>() < token_ || o.at("shift") != session_)
+    if (o.at("warrant").get<std::uint64_t>() < token_ || o.at("shift") != incarnation_)
       return answer({409, report_body(), 0});
     token_ = o.at("warrant");
     obey(o.at("orders"));
@@ -374,7 +374,7 @@
     for (auto& [k, t] : tasks_)
       if (t.on) judge_.stopped(k, name_, now());
     tasks_.clear();
-    ++session_;
+    ++incarnation_;
     answered_sent_ = now();
   }
   // (A machine that hangs may go on within its lease, and not after it.)
@@ -394,7 +394,7 @@
   std::vector<std::string> nodes_;
   std::shared_ptr<bool> alive_;
   std::size_t node_ = 0;
-  std::uint64_t session_ = 1, seq_ = 0, token_ = 0, runs_ = 0;
+  std::uint64_t incarnation_ = 1, seq_ = 0, token_ = 0, runs_ = 0;
   Ms answered_sent_ = 0, hung_until_ = 0;
   std::map<TaskKey, Task> tasks_;
   std::optional<wire::ExitCause> forced_;
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -28,7 +28,7 @@
   s.zones = {"a", "b"};
   s.teams = {{"red", 0, 0, 4, 8}, {"blue", 0, 0, 4, 16}};
   s.objectives = {{"wait", "urgent", 10, 1}};
-  s.report_s = 3;
+  s.heartbeat_interval_s = 3;
   s.lease_s = 20;
   s.gang_wait_s = 30;
   s.gang_peer_s = 4;
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -82,10 +82,10 @@
 }
 
 TEST(Wire, ReadsReports) {
-  const WorkerReport r = report_from(kReport);
+  const Heartbeat r = heartbeat_from(kReport);
   EXPECT_EQ(r.machine, "m-000231");
-  EXPECT_EQ(r.session, 1u);
-  EXPECT_EQ(r.seq, 88u);
+  EXPECT_EQ(r.incarnation, 1u);
+  EXPECT_EQ(r.sequence, 88u);
   EXPECT_FALSE(r.notice_s);
   ASSERT_EQ(r.tasks.size(), 2u);
   EXPECT_EQ(r.tasks[0].job, "wk-000412");
@@ -95,9 +95,9 @@
 }
 
 TEST(Wire, WritesOrders) {
-  const Json o = Json::parse(checkin_answer(41, {{Verb::start, "wk-1", 4, 2, 0},
-                                                 {Verb::stop, "wk-2", 1, 1, 10},
-                                                 {Verb::forget, "wk-3", 0, 1, 0}}));
+  const Json o = Json::parse(heartbeat_answer(41, {{Verb::start, "wk-1", 4, 2, 0},
+                                                   {Verb::stop, "wk-2", 1, 1, 10},
+                                                   {Verb::forget, "wk-3", 0, 1, 0}}));
   EXPECT_EQ(o["warrant"], 41);
   EXPECT_EQ(o["orders"][0], (Json{{"verb", "run"}, {"pour", "wk-1/4"}, {"try", 2}}));
   EXPECT_EQ(o["orders"][1]["wind_down_s"], 10.0);
@@ -119,7 +119,7 @@
     std::function<void(const std::string&)> read;
   } readers[] = {
       {kJob, [](const std::string& s) { job_from(parse_object(s)); }},
-      {kReport, [](const std::string& s) { report_from(s); }},
+      {kReport, [](const std::string& s) { heartbeat_from(s); }},
       {catalog, [](const std::string& s) { catalog_from(s); }},
       {list, [](const std::string& s) { machines_from(s); }},
       {R"({"hosts":["m-000231"]})", [](const std::string& s) { rented_from(s); }},
