--- a/src/leader/absence.cc
+++ b/src/leader/absence.cc
@@ -5,7 +5,7 @@
 
 using wire::TaskState;
 
-void Controller::confirm_missing(Machine& machine) {
+void Controller::verify_absence(Machine& machine) {
   if (machine.inspecting || machine.deleting) return;
   const std::vector<AttemptId> asked = attempts_.to_inspect(machine);
   if (asked.empty()) return;
@@ -16,15 +16,15 @@
     Machine* inspected = term == term_ ? fleet_.find(name) : nullptr;
     if (!inspected) return;
     inspected->inspecting = false;
-    if (!report || report->machine != name) return unanswered(*inspected);
+    if (!report || report->machine != name) return on_command_unanswered(*inspected);
     if (report->token > election_.epoch())
       return election_.lost(audit::Deposed::worker_shows_higher_epoch);
-    take_inspection(*inspected, *report, asked);
+    on_inspection(*inspected, *report, asked);
   });
 }
 
-void Controller::take_inspection(Machine& machine, const wire::Heartbeat& report,
-                                 const std::vector<AttemptId>& asked) {
+void Controller::on_inspection(Machine& machine, const wire::Heartbeat& report,
+                               const std::vector<AttemptId>& asked) {
   std::map<AttemptId, const wire::TaskStatus*> present;
   for (const wire::TaskStatus& task : report.tasks) present[id_of(task)] = &task;
   std::vector<TaskAttempt*> gone;
--- a/src/leader/attempt_tracker.cc
+++ b/src/leader/attempt_tracker.cc
@@ -56,12 +56,12 @@
   if (job.running == job.spec.tasks) spdlog::debug("all of {} run", job.spec.id);
 }
 
-void AttemptTracker::stop(TaskAttempt& attempt, double grace_s, audit::StopReason why) {
+void AttemptTracker::stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason why) {
   if (attempt.stop) return;
   audit::stop(attempt.id(), attempt.machine->name, why);
   attempt.stop = true;
   attempt.machine->stale = true;
-  attempt.grace_s = grace_s;
+  attempt.termination_grace_s = termination_grace_s;
   attempt.stop_since = runtime_.now();
 }
 
--- a/src/leader/attempt_tracker.h
+++ b/src/leader/attempt_tracker.h
@@ -36,7 +36,7 @@
 
   void set_state(TaskAttempt& attempt, wire::TaskState state);
   // Marks it as to be stopped; the first call counts.
-  void stop(TaskAttempt& attempt, double grace_s, audit::StopReason why);
+  void stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason why);
 
   sched::Need usage(const std::string& team) const;
 
--- a/src/leader/attempts.cc
+++ b/src/leader/attempts.cc
@@ -66,13 +66,14 @@
 }
 
 // `again`: also what was told to stop before, with this grace now.
-void Controller::stop_all(JobRecord& job, double grace_s, audit::StopReason why, bool again) {
+void Controller::stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why,
+                          bool again) {
   std::vector<TaskAttempt*> sent;
   std::vector<TaskAttempt*> unsent;
   for (auto& [task, attempt] : job.attempts) {
     if (attempt.stop && !again) continue;
-    attempts_.stop(attempt, grace_s, why);
-    attempt.grace_s = grace_s;
+    attempts_.stop(attempt, termination_grace_s, why);
+    attempt.termination_grace_s = termination_grace_s;
     (attempt.sent ? sent : unsent).push_back(&attempt);
   }
   send_stops(sent);
--- a/src/leader/commands.cc
+++ b/src/leader/commands.cc
@@ -18,7 +18,7 @@
   std::map<Machine*, std::vector<wire::Command>, ByName> by_machine;
   for (const TaskAttempt* attempt : attempts) {
     by_machine[attempt->machine].push_back(
-        command_for(Verb::stop, attempt->id(), attempt->grace_s));
+        command_for(Verb::stop, attempt->id(), attempt->termination_grace_s));
   }
   for (const auto& [machine, commands] : by_machine) send(*machine, commands);
 }
@@ -35,13 +35,13 @@
   workers_.send(machine.addr, election_.epoch(), machine.incarnation, commands,
                 [this, term = term_, name = machine.name, starts](
                     workers::Sent sent, const std::optional<wire::Heartbeat>& report) {
-                  if (term == term_) take_command_answer(name, starts, sent, report);
+                  if (term == term_) on_command_answer(name, starts, sent, report);
                 });
 }
 
-void Controller::take_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
-                                     workers::Sent sent,
-                                     const std::optional<wire::Heartbeat>& report) {
+void Controller::on_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
+                                   workers::Sent sent,
+                                   const std::optional<wire::Heartbeat>& report) {
   for (const AttemptId& id : starts)
     if (TaskAttempt* attempt = find_attempt(id)) --attempt->in_flight;
   Machine* machine = fleet_.find(name);
@@ -52,7 +52,7 @@
   const bool may_run = sent == workers::Sent::unknown && !starts.empty();
   if (sent == workers::Sent::executed || may_run) machine->last_command_ack_at = runtime_.now();
   if (sent == workers::Sent::unknown || sent == workers::Sent::not_sent) {
-    unanswered(*machine);
+    on_command_unanswered(*machine);
   } else {
     machine->unresponsive_since.reset();
   }
@@ -64,7 +64,7 @@
 
 // A machine can be heard and yet not hear us. New starts avoid it for a while; if it is the same
 // then, it takes nothing more, and is returned once nothing is known to run on it.
-void Controller::unanswered(Machine& machine) {
+void Controller::on_command_unanswered(Machine& machine) {
   const Ms now = runtime_.now();
   const Ms pause = net::ms(settings_.lease_s) / 2;
   machine.suspect_until = std::max(machine.suspect_until, now + pause);
@@ -78,7 +78,8 @@
 }
 
 // The record that assigns these tasks is durable: they may be started.
-void Controller::starts_durable(const std::string& id, const std::vector<AttemptId>& assigned) {
+void Controller::on_assignment_durable(const std::string& id,
+                                       const std::vector<AttemptId>& assigned) {
   JobRecord* job = find_job(id);
   if (!job) return;
   std::map<Machine*, std::vector<wire::Command>, ByName> by_machine;
@@ -101,7 +102,7 @@
     attempt->start_sent_at = runtime_.now();
     ++attempt->in_flight;
     audit::start(name, machine.name, machine.incarnation, election_.epoch(), false);
-    add_start(machine, name, by_machine[&machine]);
+    append_start(machine, name, by_machine[&machine]);
   }
   for (const auto& [machine, commands] : by_machine) send(*machine, commands);
   release_lost(off, audit::AbsenceProof::never_sent);
@@ -109,8 +110,8 @@
 
 // An earlier attempt that ended there would make this one `busy`. The record that is durable now no
 // longer has it, so it may be forgotten.
-void Controller::add_start(const Machine& machine, const AttemptId& id,
-                           std::vector<wire::Command>& commands) {
+void Controller::append_start(const Machine& machine, const AttemptId& id,
+                              std::vector<wire::Command>& commands) {
   for (auto ended = machine.exited.lower_bound({id.job, id.task, 0});
        ended != machine.exited.end() && ended->task_id() == id.task_id(); ++ended)
     if (!machine.started.contains(*ended)) commands.push_back(command_for(Verb::forget, *ended));
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -111,7 +111,8 @@
   void release_lost(const std::vector<TaskAttempt*>& lost, audit::AbsenceProof proof);
   void lost_attempt(JobRecord& job);
   void stop_to_save(TaskAttempt& attempt, audit::StopReason why);
-  void stop_all(JobRecord& job, double grace_s, audit::StopReason why, bool again = false);
+  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why,
+                bool again = false);
   void machine_gone(Machine& machine, audit::AbsenceProof proof);
   void forget_machine(Machine& machine);
   void record_failure(JobRecord& job, Machine& machine);
@@ -124,24 +125,24 @@
   TaskAttempt* adopt(Machine& machine, const AttemptId& id);
   void take_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited);
   bool may_forget(const Machine& machine, const wire::TaskStatus& task) const;
-  std::vector<wire::Command> orders_for(Machine& machine, const wire::Heartbeat& report);
-  void add_starts(Machine& machine, const std::set<TaskId>& reported,
-                  std::vector<wire::Command>& orders);
+  std::vector<wire::Command> commands_for(Machine& machine, const wire::Heartbeat& report);
+  void append_starts(Machine& machine, const std::set<TaskId>& reported,
+                     std::vector<wire::Command>& commands);
 
   // Missing attempts: absence.cc.
-  void confirm_missing(Machine& machine);
-  void take_inspection(Machine& machine, const wire::Heartbeat& report,
-                       const std::vector<AttemptId>& asked);
+  void verify_absence(Machine& machine);
+  void on_inspection(Machine& machine, const wire::Heartbeat& report,
+                     const std::vector<AttemptId>& asked);
 
   // Commands to workers: commands.cc.
   void send(Machine& machine, const std::vector<wire::Command>& commands);
   void send_stops(const std::vector<TaskAttempt*>& attempts);
-  void take_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
-                           workers::Sent sent, const std::optional<wire::Heartbeat>& report);
-  void unanswered(Machine& machine);
-  void starts_durable(const std::string& id, const std::vector<AttemptId>& assigned);
-  static void add_start(const Machine& machine, const AttemptId& id,
-                        std::vector<wire::Command>& commands);
+  void on_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
+                         workers::Sent sent, const std::optional<wire::Heartbeat>& report);
+  void on_command_unanswered(Machine& machine);
+  void on_assignment_durable(const std::string& id, const std::vector<AttemptId>& assigned);
+  static void append_start(const Machine& machine, const AttemptId& id,
+                           std::vector<wire::Command>& commands);
 
   // The snapshot: cluster_view.cc.
   void update_view(Machine& machine, const wire::MachineType& type);
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -54,7 +54,8 @@
 }
 
 bool Election::may_answer() const {
-  return leading_ && (holds() || runtime_.now() < std::max(granted_, confirmed_at_) + times_.grace);
+  return leading_ &&
+         (holds() || runtime_.now() < std::max(granted_, confirmed_at_) + times_.lease_extension);
 }
 
 void Election::retry(std::function<void()> what) {
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -18,7 +18,7 @@
   // For how long after the last good renewal was sent check-ins may still be answered without a
   // lease: shorter than cancel_s - lease_s, so that a cancellation answered under the next leader
   // holds whatever a cut-off worker does (see docs/architecture.md).
-  net::Ms grace;
+  net::Ms lease_extension;
   net::Ms between_resignations;
 };
 
--- a/src/leader/heartbeats.cc
+++ b/src/leader/heartbeats.cc
@@ -56,7 +56,7 @@
   if (!loaded_ || !is_newer(report, machine))
     return {200, wire::heartbeat_answer(election_.epoch(), {})};
   reconcile(machine, report, true);
-  return {200, wire::heartbeat_answer(election_.epoch(), orders_for(machine, report))};
+  return {200, wire::heartbeat_answer(election_.epoch(), commands_for(machine, report))};
 }
 
 void Controller::reconcile(Machine& machine, const wire::Heartbeat& report, bool heartbeat) {
@@ -87,7 +87,7 @@
   const bool any_missing = AttemptTracker::mark_missing(machine, reported, heartbeat);
   take_exits(machine, exited);
   if (machine.draining && machine.attempts.empty() && !machine.deleting) fleet_.remove(machine);
-  if (any_missing) confirm_missing(machine);
+  if (any_missing) verify_absence(machine);
 }
 
 void Controller::update_machine_state(Machine& machine, const wire::Heartbeat& report) {
@@ -147,8 +147,9 @@
   return final_status && final_status->stage == wire::Stage::done;
 }
 
-std::vector<wire::Command> Controller::orders_for(Machine& machine, const wire::Heartbeat& report) {
-  std::vector<wire::Command> orders;
+std::vector<wire::Command> Controller::commands_for(Machine& machine,
+                                                    const wire::Heartbeat& report) {
+  std::vector<wire::Command> commands;
   std::set<TaskId> reported;
   const Ms now = runtime_.now();
   for (const wire::TaskStatus& task : report.tasks) {
@@ -158,40 +159,40 @@
       // Forgotten only after the record of its end is durable.
       if (!attempt && record_settled(id.job, id.task) && may_forget(machine, task)) {
         machine.started.erase(id);
-        orders.push_back(command_for(Verb::forget, id));
+        commands.push_back(command_for(Verb::forget, id));
       }
       continue;
     }
     if (!attempt) {
-      orders.push_back(command_for(Verb::stop, id));
+      commands.push_back(command_for(Verb::stop, id));
       continue;
     }
     reported.insert(id.task_id());
     if (!attempt->stop) continue;
-    const bool overdue =
-        now - attempt->stop_since > net::ms(attempt->grace_s + 2 * settings_.gang_peer_s);
-    orders.push_back(command_for(Verb::stop, id, overdue ? 0 : attempt->grace_s));
+    const bool overdue = now - attempt->stop_since >
+                         net::ms(attempt->termination_grace_s + 2 * settings_.gang_peer_s);
+    commands.push_back(command_for(Verb::stop, id, overdue ? 0 : attempt->termination_grace_s));
   }
-  if (election_.holds()) add_starts(machine, reported, orders);
-  return orders;
+  if (election_.holds()) append_starts(machine, reported, commands);
+  return commands;
 }
 
 // Starts that the worker has not shown yet. In the answer to a heartbeat they need no guard against
 // late copies: the worker takes no answer that is older than a few seconds.
-void Controller::add_starts(Machine& machine, const std::set<TaskId>& reported,
-                            std::vector<wire::Command>& orders) {
+void Controller::append_starts(Machine& machine, const std::set<TaskId>& reported,
+                               std::vector<wire::Command>& commands) {
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task) || attempt->seen || !attempt->durable) continue;
     if (attempt->in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
     if (attempt->job->ending && !attempt->stop) continue;
     attempt->start_sent_at = runtime_.now();
     audit::start(attempt->id(), machine.name, machine.incarnation, election_.epoch(), true);
-    orders.push_back(command_for(Verb::start, attempt->id()));
+    commands.push_back(command_for(Verb::start, attempt->id()));
     if (attempt->stop) {
       // It was never seen, and its start may come at any time. Started and stopped in one go, the
       // attempt is known to the worker, the late start does nothing, and the next report has it as
       // ended.
-      orders.push_back(command_for(Verb::stop, attempt->id()));
+      commands.push_back(command_for(Verb::stop, attempt->id()));
     } else {
       attempt->sent = true;
     }
--- a/src/leader/ids.h
+++ b/src/leader/ids.h
@@ -38,8 +38,9 @@
   return {command.job, command.index, command.attempt};
 }
 
-inline wire::Command command_for(wire::Verb verb, const AttemptId& id, double grace_s = 0) {
-  return {verb, id.job, id.task, id.attempt, grace_s};
+inline wire::Command command_for(wire::Verb verb, const AttemptId& id,
+                                 double termination_grace_s = 0) {
+  return {verb, id.job, id.task, id.attempt, termination_grace_s};
 }
 
 }  // namespace seampass::leader
--- a/src/leader/job_record.h
+++ b/src/leader/job_record.h
@@ -37,7 +37,7 @@
   wire::TaskState state = wire::TaskState::fetching;
   net::Ms running_since = 0;
   bool stop = false;
-  double grace_s = 0;
+  double termination_grace_s = 0;
   net::Ms stop_since = 0;
 
   AttemptId id() const;
--- a/src/leader/planning.cc
+++ b/src/leader/planning.cc
@@ -193,18 +193,19 @@
 void Controller::evict(const sched::Decisions& d) {
   std::vector<TaskAttempt*> stops;
   for (const sched::Eviction& e : d.evictions) {
-    double grace = 0;
+    double termination_grace_s = 0;
     for (const sched::Victim& v : e.tasks) {
       TaskAttempt* c = find_attempt(v.job, v.task);
       if (!c) continue;
       stop_to_save(*c, audit::StopReason::room_needed);
       stops.push_back(c);
-      grace = std::max(grace, c->grace_s);
+      termination_grace_s = std::max(termination_grace_s, c->termination_grace_s);
     }
     Machine* m = fleet_.find(snapshot_.machines[e.machine].name);
     if (!m) continue;
     m->claimed_by = snapshot_.jobs[e.job].id;
-    m->claimed_until = runtime_.now() + net::ms(grace + 2 * settings_.heartbeat_interval_s);
+    m->claimed_until =
+        runtime_.now() + net::ms(termination_grace_s + 2 * settings_.heartbeat_interval_s);
     spdlog::debug("clearing {} of {} tasks for {}", m->name, e.tasks.size(), m->claimed_by);
   }
   send_stops(stops);
@@ -289,8 +290,8 @@
   for (auto& [record, list] : by_record) {
     record_changed(id, list.front().task, Urgency::assignment,
                    [this, id, gang, waiting, all, list = list] {
-                     if (!gang) return starts_durable(id, list);
-                     if (--*waiting == 0) starts_durable(id, all);
+                     if (!gang) return on_assignment_durable(id, list);
+                     if (--*waiting == 0) on_assignment_durable(id, all);
                    });
   }
 }
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -62,7 +62,8 @@
   // Timers run before sockets are read. In a process that is behind, a turn of the loop takes a
   // good part of the timeout, and the answer is likely to be there, unread: it is overdue only if
   // the turn that begins now does not bring it either. (Without this every request of a busy leader
-  // counts as unanswered, its connection is closed, and the next one takes two turns longer.)
+  // counts as on_command_unanswered, its connection is closed, and the next one takes two turns
+  // longer.)
   void last_turn() {
     timer = owner->loop_.after(kNextTurn, [this] {
       timer = 0;
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -113,7 +113,7 @@
     Json o{{"verb", name_of(kVerbs, c.verb)},
            {"pour", c.job + "/" + std::to_string(c.index)},
            {"try", c.attempt}};
-    if (c.verb == Verb::stop) o["wind_down_s"] = c.grace_s;
+    if (c.verb == Verb::stop) o["wind_down_s"] = c.termination_grace_s;
     list.push_back(std::move(o));
   }
   return list;
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -66,7 +66,7 @@
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  double grace_s = 0;
+  double termination_grace_s = 0;
 };
 
 struct MachineType {
--- a/tests/standins/workers.h
+++ b/tests/standins/workers.h
@@ -280,8 +280,8 @@
     answer({200, report_body(), 0});
   }
 
-  void obey(const wire::Json& orders) {
-    for (const auto& c : orders) {
+  void obey(const wire::Json& commands) {
+    for (const auto& c : commands) {
       const std::string pour = c.at("pour");
       const auto slash = pour.find('/');
       const TaskKey key{pour.substr(0, slash),
