--- a/src/leader/attempt_tracker.cc
+++ b/src/leader/attempt_tracker.cc
@@ -104,7 +104,8 @@
   // A worker that ended and was back at once began a lease of its own; what it was told to start
   // since may run for as long.
   const Ms now = runtime_.now();
-  if (now - std::max(machine.heard, machine.last_command_ack_at) <= times.silence) return false;
+  if (now - std::max(machine.last_heartbeat_at, machine.last_command_ack_at) <= times.silence)
+    return false;
   const bool in_flight = std::any_of(machine.attempts.begin(), machine.attempts.end(),
                                      [](const auto& entry) { return entry.second->in_flight > 0; });
   if (in_flight) return false;
--- a/src/leader/attempts.cc
+++ b/src/leader/attempts.cc
@@ -106,12 +106,12 @@
     for (const std::string& name : job.failed_on) {
       Machine* other = fleet_.find(name);
       if (other && other->failed_jobs.erase(job.spec.id) != 0 && other->failed_jobs.empty())
-        other->suspect_until = 0;
+        other->quarantined_until = 0;
     }
     return;
   }
   machine.failed_jobs.insert(job.spec.id);
-  machine.suspect_until = runtime_.now() + net::ms(settings_.lease_s);
+  machine.quarantined_until = runtime_.now() + net::ms(settings_.lease_s);
   if (machine.failed_jobs.size() >= kMostFailed) machine.draining = true;
 }
 
@@ -137,13 +137,13 @@
       job.retry_at = now + pause;
       break;
     case ExitCause::no_room:
-      machine.suspect_until = now + pause;
+      machine.quarantined_until = now + pause;
       break;
     default:
       break;
   }
   const std::string id = job.spec.id;
-  if (machine.started.contains(attempt.id()))
+  if (machine.replayable_starts.contains(attempt.id()))
     job.unreaped_attempts.insert({attempt.task, machine.name});
   release(attempt);
   if (JobRecord* left = find_job(id)) lost_attempt(*left);
--- a/src/leader/cluster_view.cc
+++ b/src/leader/cluster_view.cc
@@ -63,15 +63,17 @@
     sched::MachineView& v = snapshot_.machines[m.slot];
     v.price = m.spot ? type->spot_price : type->price;
     // A third of the lease without a word: whatever is started there may never be.
-    v.open = m.up && !m.deleting && !m.draining && !m.taken_at && m.unknown_tasks == 0 &&
-             now >= m.suspect_until && now - m.heard < fresh;
+    v.open = m.registered && !m.deleting && !m.draining && !m.preemption_at &&
+             m.unknown_tasks == 0 && now >= m.quarantined_until &&
+             now - m.last_heartbeat_at < fresh;
     // (One that reports shows within a report that it hears us, or it is no machine on its way.)
-    v.booting = !m.up && !m.deleting && m.attempts.empty() &&
+    v.booting = !m.registered && !m.deleting && m.attempts.empty() &&
                 (m.first_heartbeat_at < 0
-                     ? now - m.since < net::ms(2 * type->boot_s)
+                     ? now - m.rented_at < net::ms(2 * type->boot_s)
                      : now - m.first_heartbeat_at < net::ms(settings_.heartbeat_interval_s));
-    v.claimed_by.clear();
-    if (now < m.claimed_until && jobs_.contains(m.claimed_by)) v.claimed_by = m.claimed_by;
+    v.nominated_job.clear();
+    if (now < m.nominated_until && jobs_.contains(m.nominated_job))
+      v.nominated_job = m.nominated_job;
   }
   snapshot_.asked.clear();
   for (const auto& [request, asked] : fleet_.asked()) {
@@ -139,7 +141,7 @@
   for (auto left = job.unreaped_attempts.begin(); left != job.unreaped_attempts.end();) {
     const auto& [task, name] = *left;
     const Machine* machine = fleet_.find(name);
-    if (!machine || !machine->has_started({job.spec.id, task})) {
+    if (!machine || !machine->may_replay_start({job.spec.id, task})) {
       left = job.unreaped_attempts.erase(left);
       continue;
     }
--- a/src/leader/commands.cc
+++ b/src/leader/commands.cc
@@ -24,11 +24,12 @@
 }
 
 void Controller::send(Machine& machine, const std::vector<wire::Command>& commands) {
-  if (machine.addr.empty() || !machine.up) return;  // the next heartbeat's answer carries them
+  if (machine.addr.empty() || !machine.registered)
+    return;  // the next heartbeat's answer carries them
   std::vector<AttemptId> starts;
   for (const wire::Command& command : commands)
     if (command.verb == Verb::start) starts.push_back(id_of(command));
-  machine.started.insert(starts.begin(), starts.end());
+  machine.replayable_starts.insert(starts.begin(), starts.end());
   // A worker that began anew just now runs what it is told until its own lease is over, whether its
   // answer comes or not.
   if (!starts.empty()) machine.last_command_ack_at = runtime_.now();
@@ -48,7 +49,7 @@
   if (!machine) return;
   // Certainly not executed, and no copy of it ever will be.
   if (sent == workers::Sent::not_sent || sent == workers::Sent::rejected)
-    for (const AttemptId& id : starts) machine->started.erase(id);
+    for (const AttemptId& id : starts) machine->replayable_starts.erase(id);
   const bool may_run = sent == workers::Sent::unknown && !starts.empty();
   if (sent == workers::Sent::executed || may_run) machine->last_command_ack_at = runtime_.now();
   if (sent == workers::Sent::unknown || sent == workers::Sent::not_sent) {
@@ -67,7 +68,7 @@
 void Controller::on_command_unanswered(Machine& machine) {
   const Ms now = runtime_.now();
   const Ms pause = net::ms(settings_.lease_s) / 2;
-  machine.suspect_until = std::max(machine.suspect_until, now + pause);
+  machine.quarantined_until = std::max(machine.quarantined_until, now + pause);
   if (!machine.unresponsive_since) machine.unresponsive_since = now;
   if (now - *machine.unresponsive_since < pause || machine.deleting) return;
   machine.draining = true;
@@ -93,7 +94,7 @@
     // Each start that goes there by itself leaves an attempt that can't be forgotten for long.
     // Those beyond the bound travel in the answer to the next heartbeat, of which no copy comes
     // late.
-    if (machine.started.size() >= kMostUnforgettable) continue;
+    if (machine.replayable_starts.size() >= kMostUnforgettable) continue;
     if (machine.incarnation != attempt->incarnation) {
       off.push_back(attempt);  // never sent, and void now
       continue;
@@ -114,7 +115,8 @@
                               std::vector<wire::Command>& commands) {
   for (auto ended = machine.exited.lower_bound({id.job, id.task, 0});
        ended != machine.exited.end() && ended->task_id() == id.task_id(); ++ended)
-    if (!machine.started.contains(*ended)) commands.push_back(command_for(Verb::forget, *ended));
+    if (!machine.replayable_starts.contains(*ended))
+      commands.push_back(command_for(Verb::forget, *ended));
   commands.push_back(command_for(Verb::start, id));
 }
 
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -174,7 +174,7 @@
   bool is_isolated();
   void release_expired();
   std::set<std::string> expire_holds();
-  void drain_noticed();
+  void drain_preempted();
   void log_use() const;
   void log_load();
 
--- a/src/leader/fleet.cc
+++ b/src/leader/fleet.cc
@@ -56,7 +56,7 @@
   Machine& m = machines_[name];
   if (m.name.empty()) {
     m.name = name;
-    m.since = m.idle_since = runtime_.now();
+    m.rented_at = m.idle_since = runtime_.now();
   }
   return m;
 }
@@ -128,7 +128,7 @@
       m.zone = l.zone;
       m.spot = l.spot;
     }
-    if (fresh) m.since = now - net::ms(l.age_s);
+    if (fresh) m.rented_at = now - net::ms(l.age_s);
     if (l.stage == wire::MachineStage::running && m.listed_up < 0) m.listed_up = now;
     if (l.stage == wire::MachineStage::failed && !m.deleting) remove(m);
   }
@@ -136,7 +136,7 @@
 
 // Silence is counted from when workers could know of this leader.
 Ms Fleet::silence(const Machine& machine) const {
-  return runtime_.now() - std::max(machine.heard, began_);
+  return runtime_.now() - std::max(machine.last_heartbeat_at, began_);
 }
 
 bool Fleet::is_silent(const Machine& machine) const {
@@ -158,12 +158,12 @@
   for (const auto& [name, m] : machines_) {
     if (m.deleting || m.zone.empty()) continue;
     ZoneHealth& zone = zones[m.zone];
-    if (m.up) {
+    if (m.registered) {
       ++zone.up;
       zone.silent += is_silent(m) ? 1 : 0;
       zone.overdue += is_overdue(m) ? 1 : 0;
     } else if (m.listed_up >= 0 &&
-               now - std::max(m.listed_up, m.heard) > net::ms(settings_.lease_s) / 2) {
+               now - std::max(m.listed_up, m.last_heartbeat_at) > net::ms(settings_.lease_s) / 2) {
       ++zone.unheard;
     }
   }
@@ -188,7 +188,7 @@
   const Ms lease = net::ms(settings_.lease_s);
   const Ms patience = net::ms(kBootPatience * boot_s(machine));
   const Ms now = runtime_.now();
-  return now - machine.since > patience &&
+  return now - machine.rented_at > patience &&
          now - began_ > (machine.attempts.empty() ? lease : std::max(lease, patience));
 }
 
@@ -208,7 +208,7 @@
     machine.idle_since = now;
     return false;
   }
-  return machine.draining || machine.taken_at ||
+  return machine.draining || machine.preemption_at ||
          now - machine.idle_since > net::ms(operator_.idle_return * boot_s(machine));
 }
 
@@ -218,7 +218,7 @@
   for (auto& [name, m] : machines_) {
     if (m.deleting) continue;
     bool unwanted = false;
-    if (!m.up) {
+    if (!m.registered) {
       unwanted = is_given_up(m);
     } else if (is_silent(m)) {
       const auto zone = zones.find(m.zone);
@@ -227,7 +227,8 @@
       unwanted = is_surplus(m, kept.contains(name));
     }
     if (!unwanted) continue;
-    spdlog::debug("returning {} ({}, up {}, {} tasks)", m.name, m.type, m.up, m.attempts.size());
+    spdlog::debug("returning {} ({}, up {}, {} tasks)", m.name, m.type, m.registered,
+                  m.attempts.size());
     mark_for_removal(m);
   }
   flush_removals();
@@ -270,7 +271,7 @@
       m.type = rental.type;
       m.zone = rental.zone;
       m.spot = rental.spot;
-      m.since = now;
+      m.rented_at = now;
     }
     // No answer: whatever was rented shows in the list, and is used or returned.
     if (result != cloud::Rented::ok || static_cast<int>(names.size()) < rental.count)
--- a/src/leader/fleet.h
+++ b/src/leader/fleet.h
@@ -23,11 +23,11 @@
 struct Machine {
   std::string name, addr, type, zone;
   bool spot = false;
-  bool up = false;  // has shown this leader's epoch: it lives now, and hears us
+  bool registered = false;  // has shown this leader's epoch: it lives now, and hears us
   bool deleting = false;
   bool draining = false;            // takes nothing new
-  net::Ms since = 0;                // rented, as far as known
-  net::Ms heard = -1;               // last check-in that this leader may have answered; -1: none
+  net::Ms rented_at = 0;            // rented, as far as known
+  net::Ms last_heartbeat_at = -1;   // last check-in that this leader may have answered; -1: none
   net::Ms first_heartbeat_at = -1;  // first check-in of this term; -1: none
   net::Ms listed_up = -1;           // first listed as running in this term; -1: not yet
   // The first command without an answer since the last with one.
@@ -38,31 +38,31 @@
   std::pair<std::uint64_t, std::uint64_t> last_heartbeat, last_unconfirmed_heartbeat;
   net::Ms last_command_ack_at = -1;  // last command that was, or may have been, executed; -1: none
   bool inspecting = false;           // an inspection is on its way
-  std::optional<net::Ms> taken_at;   // spot notice
+  std::optional<net::Ms> preemption_at;  // spot notice
   net::Ms idle_since = 0;
-  net::Ms suspect_until = 0;
+  net::Ms quarantined_until = 0;
   std::set<std::string> failed_jobs;  // since a task was done here
   std::map<TaskId, TaskAttempt*> attempts;
-  std::string claimed_by;  // a job that room is being cleared for
-  net::Ms claimed_until = 0;
+  std::string nominated_job;  // a job that room is being cleared for
+  net::Ms nominated_until = 0;
   std::size_t unknown_tasks = 0;  // reported tasks that no attempt accounts for
   std::set<std::string> images;
   std::set<AttemptId> exited;  // reported as ended and not forgotten yet
   // Starts sent to /commands in this incarnation: until it changes, each may be executed late, or
   // once more by a late copy. The worker ignores it for as long as it knows the attempt.
-  std::set<AttemptId> started;
+  std::set<AttemptId> replayable_starts;
   // Its place among the snapshot's machines, and whether it has changed since it was drawn there.
   std::size_t slot = kNoSlot;
   bool stale = true;
   static constexpr std::size_t kNoSlot = static_cast<std::size_t>(-1);
 
   // Whether a start of this task, of whichever attempt, may still come late.
-  bool has_started(const TaskId& task) const {
-    const auto first = started.lower_bound({task.job, task.task, 0});
-    return first != started.end() && first->task_id() == task;
+  bool may_replay_start(const TaskId& task) const {
+    const auto first = replayable_starts.lower_bound({task.job, task.task, 0});
+    return first != replayable_starts.end() && first->task_id() == task;
   }
   void note_heartbeat(net::Ms now) {
-    heard = now;
+    last_heartbeat_at = now;
     if (first_heartbeat_at < 0) first_heartbeat_at = now;
   }
 };
--- a/src/leader/heartbeats.cc
+++ b/src/leader/heartbeats.cc
@@ -91,17 +91,17 @@
 }
 
 void Controller::update_machine_state(Machine& machine, const wire::Heartbeat& report) {
-  if (report.incarnation > machine.incarnation) machine.started.clear();
+  if (report.incarnation > machine.incarnation) machine.replayable_starts.clear();
   machine.incarnation = report.incarnation;
   machine.sequence = report.sequence;
   machine.token = report.token;
-  if (!machine.up) {  // it lives now, and hears us
-    machine.up = true;
+  if (!machine.registered) {  // it lives now, and hears us
+    machine.registered = true;
     machine.idle_since = runtime_.now();
     request_pass();
   }
-  machine.taken_at.reset();
-  if (report.notice_s) machine.taken_at = runtime_.now() + net::ms(*report.notice_s);
+  machine.preemption_at.reset();
+  if (report.notice_s) machine.preemption_at = runtime_.now() + net::ms(*report.notice_s);
 }
 
 // A task that should not be on this machine. If its job is open and the task free, the attempt is
@@ -139,7 +139,7 @@
 // another runs elsewhere, and any of a cancelled job. (One that is done would only say so again,
 // but its job may be cancelled yet.)
 bool Controller::may_forget(const Machine& machine, const wire::TaskStatus& task) const {
-  if (!machine.started.contains(id_of(task))) return true;
+  if (!machine.replayable_starts.contains(id_of(task))) return true;
   if (task.cause != ExitCause::done) return false;
   const JobRecord* job = find_job(task.job);
   if (job && !job->ended) return false;
@@ -158,7 +158,7 @@
     if (task.state == TaskState::exited) {
       // Forgotten only after the record of its end is durable.
       if (!attempt && record_settled(id.job, id.task) && may_forget(machine, task)) {
-        machine.started.erase(id);
+        machine.replayable_starts.erase(id);
         commands.push_back(command_for(Verb::forget, id));
       }
       continue;
--- a/src/leader/planning.cc
+++ b/src/leader/planning.cc
@@ -203,10 +203,10 @@
     }
     Machine* m = fleet_.find(snapshot_.machines[e.machine].name);
     if (!m) continue;
-    m->claimed_by = snapshot_.jobs[e.job].id;
-    m->claimed_until =
+    m->nominated_job = snapshot_.jobs[e.job].id;
+    m->nominated_until =
         runtime_.now() + net::ms(termination_grace_s + 2 * settings_.heartbeat_interval_s);
-    spdlog::debug("clearing {} of {} tasks for {}", m->name, e.tasks.size(), m->claimed_by);
+    spdlog::debug("clearing {} of {} tasks for {}", m->name, e.tasks.size(), m->nominated_job);
   }
   send_stops(stops);
 }
@@ -268,7 +268,7 @@
 void Controller::start(JobRecord& job, const std::vector<sched::Placement>& tasks) {
   const std::uint64_t attempt = ++job.last_attempt;
   for (auto& [name, m] : fleet_.machines())
-    if (m.claimed_by == job.spec.id) m.claimed_by.clear();
+    if (m.nominated_job == job.spec.id) m.nominated_job.clear();
   job.whole_only = false;
   job.kept_zone.clear();
   std::map<RecordId, std::vector<AttemptId>> by_record;
--- a/src/leader/upkeep.cc
+++ b/src/leader/upkeep.cc
@@ -34,7 +34,7 @@
   for (const auto& [name, m] : fleet_.machines()) {
     // (Those that never heard this leader may all be dead, with copies of their reports on the
     // way: making way for that would go round for ever.)
-    if (m.deleting || !m.up) continue;
+    if (m.deleting || !m.registered) continue;
     ++due;
     silent += fleet_.is_overdue(m) ? 1 : 0;
   }
@@ -59,7 +59,7 @@
     while (a.recent.size() > kMaxArrivals) a.recent.pop_front();
   std::set<std::string> kept = expire_holds();
   kept.insert(kept_.begin(), kept_.end());
-  drain_noticed();
+  drain_preempted();
   if (spdlog::should_log(spdlog::level::debug)) log_use();
   fleet_.tick(kept);
   request_pass();
@@ -74,7 +74,7 @@
   std::vector<Machine*> expired;
   for (auto& [name, m] : fleet_.machines()) {
     if (m.attempts.empty()) continue;
-    const bool confirmed = m.heard >= 0 && m.token >= election_.epoch();
+    const bool confirmed = m.last_heartbeat_at >= 0 && m.token >= election_.epoch();
     if (attempts_.lease_expired(m, began_, confirmed, times)) expired.push_back(&m);
   }
   for (Machine* m : expired) machine_gone(*m, audit::AbsenceProof::lease_expired);
@@ -117,10 +117,10 @@
   std::map<std::string, Use> by_type;
   for (const auto& [name, m] : fleet_.machines()) {
     Use& u = by_type[m.type];
-    ++(m.up ? u.up : u.booting);
-    if (!m.up) continue;
+    ++(m.registered ? u.up : u.booting);
+    if (!m.registered) continue;
     if (m.attempts.empty()) ++u.idle;
-    if (m.draining || m.deleting || m.taken_at) ++u.closed;
+    if (m.draining || m.deleting || m.preemption_at) ++u.closed;
     for (const auto& [key, c] : m.attempts)
       ++(c->state == TaskState::running   ? u.running
          : c->state == TaskState::waiting ? u.waiting
@@ -133,17 +133,17 @@
 }
 
 // Before the cloud takes a spot machine, what can save is told to.
-void Controller::drain_noticed() {
+void Controller::drain_preempted() {
   const Ms now = runtime_.now();
   std::vector<TaskAttempt*> singles;
   std::map<std::string, JobRecord*> gangs;
   for (auto& [name, m] : fleet_.machines()) {
-    if (!m.taken_at) continue;
+    if (!m.preemption_at) continue;
     for (const auto& [key, c] : m.attempts) {
       const wire::Job& spec = c->job->spec;
       if (c->stop || !c->sent || spec.checkpoint_s <= 0) continue;
       const double margin = spec.save_s + settings_.gang_peer_s + settings_.heartbeat_interval_s;
-      if (now + net::ms(margin) < *m.taken_at) continue;
+      if (now + net::ms(margin) < *m.preemption_at) continue;
       if (c->job->gang()) {
         gangs.emplace(spec.id, c->job);
       } else {
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -91,7 +91,7 @@
         ++out_.looked_at;
         if (!job.need.fits_in(m.free)) continue;
         room = true;
-        if (!m.claimed_by.empty() && m.claimed_by != job.id) continue;
+        if (!m.nominated_job.empty() && m.nominated_job != job.id) continue;
         list.push_back(score(job, i));
       }
       if (!room && pool.hopeless.size() < kMostHopeless) pool.hopeless.push_back(job.need);
@@ -247,12 +247,12 @@
       for (const std::size_t i : pool.machines) {
         const MachineView& m = snapshot_.machines[i];
         ++out_.looked_at;
-        if (m.claimed_by == job.id) {
+        if (m.nominated_job == job.id) {
           const std::size_t n = capacity(job.need, m.total);
           lacks -= std::min(lacks, n);
           if (lacks == 0) return;
         }
-        if (!m.claimed_by.empty() || m.victims.empty()) continue;
+        if (!m.nominated_job.empty() || m.victims.empty()) continue;
         if (std::any_of(job.avoid.begin(), job.avoid.end(),
                         [i](const auto& a) { return a.second == i; }))
           continue;
@@ -285,7 +285,7 @@
       if (lacks == 0) return;
       MachineView& m = snapshot_.machines[o.machine];
       if (!zone_allows(job, placed, m.zone) || (whole && room[m.zone] < lacks)) continue;
-      m.claimed_by = job.id;
+      m.nominated_job = job.id;
       placed[m.zone] += static_cast<std::uint32_t>(o.fits);
       lacks -= std::min(lacks, o.fits);
       out_.evictions.push_back({o.machine, j, std::move(o.tasks)});
--- a/src/sched/rentals.cc
+++ b/src/sched/rentals.cc
@@ -42,7 +42,7 @@
   };
 
   void add(const MachineView& m, std::size_t index) {
-    if (!m.claimed_by.empty()) claimed_[m.claimed_by].push_back(&m);
+    if (!m.nominated_job.empty()) claimed_[m.nominated_job].push_back(&m);
     if (m.open && !m.releases.empty()) releasing_.push_back(rooms_.size());
     if (m.booting) booting_.push_back(rooms_.size());
     if (m.open || m.booting) rooms_.push_back({&m, index, m.free});
@@ -217,7 +217,7 @@
   std::vector<std::size_t> order;
   for (std::size_t i = 0; i < snapshot.machines.size(); ++i) {
     const MachineView& m = snapshot.machines[i];
-    if (!m.open || !m.claimed_by.empty() || m.tasks == 0) continue;
+    if (!m.open || !m.nominated_job.empty() || m.tasks == 0) continue;
     order.push_back(i);
   }
   std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
--- a/src/sched/snapshot.h
+++ b/src/sched/snapshot.h
@@ -62,7 +62,7 @@
 
 struct MachineView {
   std::string name, type, zone;
-  std::string claimed_by;  // room that is being cleared for this job, and for no other
+  std::string nominated_job;  // room that is being cleared for this job, and for no other
   std::vector<Victim> victims;
   bool spot = false;
   bool open = false;     // tasks may be started on it now
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -156,7 +156,7 @@
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 1);
   const ExpiryTimes times{20000, 40000};
   const net::Ms began = process.now();
-  machine.heard = began;
+  machine.last_heartbeat_at = began;
   time.run_for(20000);
   EXPECT_FALSE(tracker.lease_expired(machine, began, true, times));
   time.run_for(1);
--- a/tests/sched_test.cc
+++ b/tests/sched_test.cc
@@ -263,7 +263,7 @@
   EXPECT_EQ(d.evictions[0].machine, 1u);  // one task there, two on the other
   EXPECT_EQ(d.evictions[0].tasks.size(), 1u);
   // Once cleared, the room is for that job alone, and it clears no more.
-  p.machines[1].claimed_by = "wk-1";
+  p.machines[1].nominated_job = "wk-1";
   p.machines[1].free = {8, 4, 64};
   p.machines[1].victims.clear();
   JobView other = waiting("wk-0", wire::JobKind::array, 1, {4, 0, 8});
