--- a/src/leader/attempt_tracker.cc
+++ b/src/leader/attempt_tracker.cc
@@ -23,7 +23,7 @@
   attempt.number = number;
   attempt.machine = &machine;
   attempt.incarnation = incarnation;
-  job.taken[task] = true;
+  job.claimed[task] = true;
   machine.attempts[{job.spec.id, task}] = &attempt;
   usage_[job.spec.team] += need_of(job.spec);
   machine.stale = true;
@@ -40,8 +40,8 @@
   machine.stale = true;
   usage_[job.spec.team] -= need_of(job.spec);
   job.attempts.erase(task);
-  if (!job.ended) job.taken[task] = job.finished[task];
-  job.hint = std::min(job.hint, task);
+  if (!job.ended) job.claimed[task] = job.finished[task];
+  job.first_unclaimed_task = std::min(job.first_unclaimed_task, task);
 }
 
 void AttemptTracker::set_state(TaskAttempt& attempt, TaskState state) {
--- a/src/leader/attempts.cc
+++ b/src/leader/attempts.cc
@@ -102,7 +102,7 @@
 // done in between: then nothing is held against any machine that it failed on.
 void Controller::record_failure(JobRecord& job, Machine& machine) {
   job.failed_on.insert(machine.name);
-  if (job.broken()) {
+  if (job.fails_everywhere()) {
     for (const std::string& name : job.failed_on) {
       Machine* other = fleet_.find(name);
       if (other && other->failed_jobs.erase(job.spec.id) != 0 && other->failed_jobs.empty())
--- a/src/leader/cluster_view.cc
+++ b/src/leader/cluster_view.cc
@@ -16,7 +16,7 @@
 // Pending tasks of one job that a pass looks at.
 constexpr std::size_t kPassTasks = 256;
 // A gang's room is kept in one zone for so many of the longest boots.
-constexpr double kKeptBoots = 3;
+constexpr double kReservationBoots = 3;
 
 }  // namespace
 
@@ -127,9 +127,9 @@
 // whole.
 std::vector<std::uint32_t> Controller::pending_tasks(const JobRecord& job, std::size_t most) {
   std::vector<std::uint32_t> pending;
-  for (std::uint32_t task = job.hint; task < job.spec.tasks; ++task) {
+  for (std::uint32_t task = job.first_unclaimed_task; task < job.spec.tasks; ++task) {
     if (!job.gang() && pending.size() == most) break;
-    if (!job.taken[task]) pending.push_back(task);
+    if (!job.claimed[task]) pending.push_back(task);
   }
   return pending;
 }
@@ -137,7 +137,7 @@
 // Where a copy of an earlier attempt's start may still come late, that attempt is not forgotten,
 // and would be in the way of this one.
 std::set<std::pair<std::uint32_t, std::size_t>> Controller::tasks_to_avoid(JobRecord& job) {
-  std::set<std::pair<std::uint32_t, std::size_t>> avoid;
+  std::set<std::pair<std::uint32_t, std::size_t>> anti_affinity;
   for (auto left = job.unreaped_attempts.begin(); left != job.unreaped_attempts.end();) {
     const auto& [task, name] = *left;
     const Machine* machine = fleet_.find(name);
@@ -145,15 +145,15 @@
       left = job.unreaped_attempts.erase(left);
       continue;
     }
-    if (machine->slot != Machine::kNoSlot) avoid.insert({task, machine->slot});
+    if (machine->slot != Machine::kNoSlot) anti_affinity.insert({task, machine->slot});
     ++left;
   }
-  return avoid;
+  return anti_affinity;
 }
 
 // Room that a gang holds is taken in the snapshot before anything is placed.
-void Controller::take_held_room(const JobRecord& job, sched::JobView& view) {
-  for (const auto& [task, name] : job.held) {
+void Controller::apply_reservations(const JobRecord& job, sched::JobView& view) {
+  for (const auto& [task, name] : job.reservations) {
     const Machine* machine = fleet_.find(name);
     if (!machine || machine->slot == Machine::kNoSlot) continue;
     sched::MachineView& room = snapshot_.machines[machine->slot];
@@ -161,7 +161,7 @@
     room.free -= view.need;
     snapshot_.teams[view.team].cpus += view.need.cpus;
     snapshot_.teams[view.team].gpus += view.need.gpus;
-    view.held.push_back({task, machine->slot});
+    view.reservations.push_back({task, machine->slot});
   }
 }
 
@@ -171,22 +171,22 @@
   const Ms now = runtime_.now();
   const auto guaranteed = guaranteed_jobs();
   for (auto& [id, job] : jobs_) {
-    if (job->ending || job->unreadable || job->hint == job->spec.tasks) continue;
+    if (job->ending || job->unreadable || job->first_unclaimed_task == job->spec.tasks) continue;
     // No task before all that the job depends on is durably done: also no room held, no machine
     // rented, no limit taken.
     if (!dependencies_.graph().ready(id)) continue;
     const bool gang = job->gang();
     if (gang && !job->attempts.empty()) continue;  // the next attempt waits for all of the last
     // A job that fails everywhere takes room for one task, to see whether it still does.
-    const bool probe = job->broken() && job->running == 0 && !gang;
+    const bool probe = job->fails_everywhere() && job->running == 0 && !gang;
     if (probe && !job->attempts.empty()) continue;
     sched::JobView v;
     v.pending = pending_tasks(*job, probe ? 1 : kPassTasks);
     if (v.pending.empty()) {
-      job->hint = job->spec.tasks;
+      job->first_unclaimed_task = job->spec.tasks;
       continue;
     }
-    job->hint = v.pending.front();
+    job->first_unclaimed_task = v.pending.front();
     v.id = id;
     v.team = job->spec.team;
     v.kind = job->spec.kind;
@@ -206,9 +206,9 @@
     v.tasks = job->spec.tasks;
     for (const auto& [task, c] : job->attempts) ++v.placed[c.machine->zone];
     v.blocked = now < job->retry_at;
-    v.avoid = tasks_to_avoid(*job);
-    v.whole_only = job->whole_only;
-    if (!v.blocked) take_held_room(*job, v);
+    v.anti_affinity = tasks_to_avoid(*job);
+    v.all_or_nothing = job->all_or_nothing;
+    if (!v.blocked) apply_reservations(*job, v);
     snapshot_.jobs.push_back(std::move(v));
     jobs.push_back(job.get());
   }
@@ -219,32 +219,32 @@
 // take what comes free. So the first such gang in the queue goes on holding, one for each zone:
 // what comes free there goes to it, and what it lacks is rented there. It moves on if that takes
 // too long.
-void Controller::keep_zones(const std::vector<JobRecord*>& jobs) {
+void Controller::reserve_zones(const std::vector<JobRecord*>& jobs) {
   const Ms now = runtime_.now();
   std::set<std::string> taken;
   for (const std::size_t j : sched::queue_order(snapshot_.jobs)) {
     JobRecord& job = *jobs[j];
     sched::JobView& v = snapshot_.jobs[j];
-    if (!job.gang() || !v.one_zone || !job.whole_only || v.blocked) continue;
-    const bool late = now - job.kept_since > net::ms(kKeptBoots * longest_boot_s());
-    if (job.kept_zone.empty() || late || taken.contains(job.kept_zone)) {
+    if (!job.gang() || !v.one_zone || !job.all_or_nothing || v.blocked) continue;
+    const bool late = now - job.zone_reserved_since > net::ms(kReservationBoots * longest_boot_s());
+    if (job.reserved_zone.empty() || late || taken.contains(job.reserved_zone)) {
       // Machines that could take a task, were they empty.
       std::map<std::string, std::uint32_t> hosts;
       for (const sched::MachineView& m : snapshot_.machines)
         if ((m.open || m.booting) && !taken.contains(m.zone) &&
             sched::allowed(v, m.type, m.zone, m.spot) && sched::capacity(v.need, m.total) > 0)
           ++hosts[m.zone];
-      if (late) hosts.erase(job.kept_zone);
+      if (late) hosts.erase(job.reserved_zone);
       std::string best;
       for (const auto& [zone, n] : hosts)
         if (best.empty() || n > hosts[best]) best = zone;
       if (best.empty()) continue;
-      job.kept_zone = best;
-      job.kept_since = now;
+      job.reserved_zone = best;
+      job.zone_reserved_since = now;
     }
-    taken.insert(job.kept_zone);
-    v.kept_zone = job.kept_zone;
-    v.whole_only = false;
+    taken.insert(job.reserved_zone);
+    v.reserved_zone = job.reserved_zone;
+    v.all_or_nothing = false;
   }
 }
 
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -120,7 +120,7 @@
   }
   if (job->spec.id != id) return;
   job->open_version = version;
-  job->taken.assign(job->spec.tasks, false);
+  job->claimed.assign(job->spec.tasks, false);
   job->finished.assign(job->spec.tasks, false);
   spdlog::debug("queued {} of {}, {} tasks, team {}", id, job->spec.klass, job->spec.tasks,
                 job->spec.team);
@@ -203,7 +203,7 @@
 // that would have to be stopped, and no start that would have to be caught.
 void Controller::cancel_job(JobRecord& job) {
   job.ending = true;
-  job.held.clear();
+  job.reservations.clear();
   const std::string id = job.spec.id;
   stop_all(job, 0, audit::StopReason::job_over, true);
   erase_if_settled(id);
@@ -211,7 +211,7 @@
 
 void Controller::conclude(JobRecord& job) {
   job.ending = job.concluding = true;
-  job.held.clear();
+  job.reservations.clear();
   const std::string id = job.spec.id;
   const bool done = job.finished_count == job.spec.tasks;
   // What is cancelled with another follows from that one's end: nobody waits for its own.
@@ -258,7 +258,7 @@
 
 void Controller::finish_task(JobRecord& job, std::uint32_t task) {
   if (job.finished[task]) return;
-  job.finished[task] = job.taken[task] = true;
+  job.finished[task] = job.claimed[task] = true;
   ++job.finished_count;
 }
 
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -150,10 +150,10 @@
   void update_teams();
   static std::vector<std::uint32_t> pending_tasks(const JobRecord& job, std::size_t most);
   std::set<std::pair<std::uint32_t, std::size_t>> tasks_to_avoid(JobRecord& job);
-  void take_held_room(const JobRecord& job, sched::JobView& view);
+  void apply_reservations(const JobRecord& job, sched::JobView& view);
   std::vector<JobRecord*> update_jobs();
   std::set<const JobRecord*> guaranteed_jobs() const;
-  void keep_zones(const std::vector<JobRecord*>& jobs);
+  void reserve_zones(const std::vector<JobRecord*>& jobs);
 
   // Scheduling: planning.cc.
   void request_pass();
@@ -173,7 +173,7 @@
   void tick();
   bool is_isolated();
   void release_expired();
-  std::set<std::string> expire_holds();
+  std::set<std::string> expire_reservations();
   void drain_preempted();
   void log_use() const;
   void log_load();
--- a/src/leader/dependencies.cc
+++ b/src/leader/dependencies.cc
@@ -22,7 +22,7 @@
   JobRecord* job = find_job(id);
   if (!job || job->ended) return;
   job->ending = true;
-  job->held.clear();
+  job->reservations.clear();
   spdlog::debug("cancelled {} with a job that it depends on", id);
   const rpc::JobReply answer = status_of(*job);
   for (const auto& waiter : std::exchange(job->waiters, {})) waiter(answer);
--- a/src/leader/job_record.h
+++ b/src/leader/job_record.h
@@ -49,10 +49,10 @@
   std::int64_t ready_ms = 0;  // when the last job that it depends on was done; else its creation
   state::Version open_version = 0;
   std::uint64_t last_attempt = 0;
-  std::vector<bool> taken;  // finished, or has an attempt
+  std::vector<bool> claimed;  // finished, or has an attempt
   std::vector<bool> finished;
   std::uint32_t finished_count = 0;
-  std::uint32_t hint = 0;  // no task before this one is free
+  std::uint32_t first_unclaimed_task = 0;  // no task before this one is free
   std::map<std::uint32_t, TaskAttempt> attempts;
   std::uint32_t running = 0;
   net::Ms retry_at = 0;
@@ -61,11 +61,11 @@
   // Task and machine where an attempt ended without a result and is not forgotten.
   std::set<std::pair<std::uint32_t, std::string>> unreaped_attempts;
   // Gangs.
-  std::vector<std::pair<std::uint32_t, std::string>> held;
-  net::Ms held_since = 0;
-  bool whole_only = false;  // timed out once
-  std::string kept_zone;    // where its room is kept since then, if anywhere
-  net::Ms kept_since = 0;
+  std::vector<std::pair<std::uint32_t, std::string>> reservations;
+  net::Ms reservations_since = 0;
+  bool all_or_nothing = false;  // timed out once
+  std::string reserved_zone;    // where its room is kept since then, if anywhere
+  net::Ms zone_reserved_since = 0;
   // Ends. `ending`: nothing of it is started any more; it was cancelled, or all of it is done.
   // `concluding`: its final status is with the record store. `ended`: that status is durable.
   bool ending = false;
@@ -76,7 +76,7 @@
   wire::Stage stage = wire::Stage::queued;
   std::vector<std::function<void(const rpc::JobReply&)>> waiters;
 
-  bool broken() const { return failed_on.size() > 1; }
+  bool fails_everywhere() const { return failed_on.size() > 1; }
   bool gang() const { return spec.kind == wire::JobKind::gang; }
 };
 
--- a/src/leader/planning.cc
+++ b/src/leader/planning.cc
@@ -67,19 +67,19 @@
     for (const config::Team& t : settings_.teams) guaranteed[t.name] = t.gpus;
     sched::set_fair_share_ranks(snapshot_.jobs, snapshot_.teams, guaranteed);
   }
-  keep_zones(jobs);
+  reserve_zones(jobs);
   // Room that is held is taken in the snapshot only until the pass is over.
   for (const sched::JobView& v : snapshot_.jobs)
-    for (const sched::Placement& x : v.held) touch(x.machine);
+    for (const sched::Placement& x : v.reservations) touch(x.machine);
   const sched::Decisions d = sched::pass(snapshot_);
   const Ms now = runtime_.now();
   for (JobRecord* job : jobs) {
-    if (job->held.empty()) job->held_since = now;
-    job->held.clear();
+    if (job->reservations.empty()) job->reservations_since = now;
+    job->reservations.clear();
   }
-  for (const sched::Batch& b : d.holds) {
+  for (const sched::Batch& b : d.reservations) {
     for (const sched::Placement& x : b.tasks) {
-      jobs[b.job]->held.emplace_back(x.task, snapshot_.machines[x.machine].name);
+      jobs[b.job]->reservations.emplace_back(x.task, snapshot_.machines[x.machine].name);
       touch(x.machine);
     }
   }
@@ -269,8 +269,8 @@
   const std::uint64_t attempt = ++job.last_attempt;
   for (auto& [name, m] : fleet_.machines())
     if (m.nominated_job == job.spec.id) m.nominated_job.clear();
-  job.whole_only = false;
-  job.kept_zone.clear();
+  job.all_or_nothing = false;
+  job.reserved_zone.clear();
   std::map<RecordId, std::vector<AttemptId>> by_record;
   std::vector<AttemptId> all;
   for (const sched::Placement& x : tasks) {
--- a/src/leader/recovery.cc
+++ b/src/leader/recovery.cc
@@ -124,7 +124,7 @@
   job->spec.memory_gb = record.need.memory_gb;
   job->spec.tasks = record.job_tasks;
   job->ending = job->concluding = job->ended = true;
-  job->taken.assign(job->spec.tasks, true);
+  job->claimed.assign(job->spec.tasks, true);
   job->finished.assign(job->spec.tasks, false);
   return *jobs_.emplace(id, std::move(job)).first->second;
 }
--- a/src/leader/upkeep.cc
+++ b/src/leader/upkeep.cc
@@ -57,7 +57,7 @@
   release_expired();
   for (auto& [klass, a] : arrivals_)
     while (a.recent.size() > kMaxArrivals) a.recent.pop_front();
-  std::set<std::string> kept = expire_holds();
+  std::set<std::string> kept = expire_reservations();
   kept.insert(kept_.begin(), kept_.end());
   drain_preempted();
   if (spdlog::should_log(spdlog::level::debug)) log_use();
@@ -81,17 +81,17 @@
 }
 
 // A gang that has held room for too long gives it back. The machines that are held still.
-std::set<std::string> Controller::expire_holds() {
+std::set<std::string> Controller::expire_reservations() {
   const Ms now = runtime_.now();
   std::set<std::string> held;
   for (auto& [id, job] : jobs_) {
-    if (!job->held.empty() && !job->whole_only &&
-        now - job->held_since > net::ms(operator_.hold_timeout_s)) {
-      job->held.clear();
-      job->whole_only = true;
+    if (!job->reservations.empty() && !job->all_or_nothing &&
+        now - job->reservations_since > net::ms(operator_.hold_timeout_s)) {
+      job->reservations.clear();
+      job->all_or_nothing = true;
       request_pass();
     }
-    for (const auto& [task, name] : job->held) held.insert(name);
+    for (const auto& [task, name] : job->reservations) held.insert(name);
   }
   return held;
 }
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -120,11 +120,13 @@
   // Adds the first task that has no place yet and may be on this machine; if it has none but those
   // that may not, one is exchanged with a task placed before. (A job's tasks are alike.)
   static bool place_next(const JobView& job, std::size_t machine, std::vector<Placement>& result) {
-    if (job.avoid.empty()) {
+    if (job.anti_affinity.empty()) {
       result.push_back({job.pending[result.size()], machine});
       return true;
     }
-    const auto may = [&](std::uint32_t t, std::size_t m) { return !job.avoid.contains({t, m}); };
+    const auto may = [&](std::uint32_t t, std::size_t m) {
+      return !job.anti_affinity.contains({t, m});
+    };
     std::vector<std::uint32_t> rest;
     for (const std::uint32_t t : job.pending) {
       if (std::any_of(result.begin(), result.end(),
@@ -182,16 +184,16 @@
     JobView& job = snapshot_.jobs[j];
     // What was held is released and placed afresh: the room is still there, and a better whole may
     // now exist.
-    if (!job.held.empty()) {
-      undo(job, job.held);
-      job.held.clear();
+    if (!job.reservations.empty()) {
+      undo(job, job.reservations);
+      job.reservations.clear();
       for (Pool& pool : pools_) pool.hopeless.clear();
     }
     std::set<std::string> zones;
-    if (job.one_zone && !job.kept_zone) {
+    if (job.one_zone && !job.reserved_zone) {
       for (const Pool& pool : pools_) zones.insert(pool.like->zone);
     } else {
-      zones.insert(job.kept_zone.value_or(""));
+      zones.insert(job.reserved_zone.value_or(""));
     }
     std::vector<Placement> best;
     double best_cost = std::numeric_limits<double>::infinity();
@@ -210,14 +212,14 @@
     }
     if (best.empty()) return;
     const bool whole = best.size() == job.pending.size();
-    if (!whole && job.whole_only) return;
+    if (!whole && job.all_or_nothing) return;
     for (const Placement& x : best) take(job, x.machine);
     if (whole) {
       job.pending.clear();
       out_.starts.push_back({j, std::move(best)});
     } else {
-      job.held = best;
-      out_.holds.push_back({j, std::move(best)});
+      job.reservations = best;
+      out_.reservations.push_back({j, std::move(best)});
     }
   }
 
@@ -226,14 +228,14 @@
   // that room. A gang of one zone has none cleared where it could not become whole.
   void clear_room(std::size_t j) {
     const JobView& job = snapshot_.jobs[j];
-    std::size_t lacks = job.pending.size() - job.held.size();
+    std::size_t lacks = job.pending.size() - job.reservations.size();
     if (job.kind == wire::JobKind::gang) {
       if (lacks > snapshot_.teams[job.team].allows(job.need)) return;
     } else {
       lacks = std::min<std::size_t>(lacks, snapshot_.teams[job.team].allows(job.need));
     }
     Zones placed = job.placed;
-    for (const Placement& x : job.held) ++placed[snapshot_.machines[x.machine].zone];
+    for (const Placement& x : job.reservations) ++placed[snapshot_.machines[x.machine].zone];
     struct Option {
       std::size_t cost = 0, machine = 0, fits = 0;
       std::vector<Victim> tasks;
@@ -253,7 +255,7 @@
           if (lacks == 0) return;
         }
         if (!m.nominated_job.empty() || m.victims.empty()) continue;
-        if (std::any_of(job.avoid.begin(), job.avoid.end(),
+        if (std::any_of(job.anti_affinity.begin(), job.anti_affinity.end(),
                         [i](const auto& a) { return a.second == i; }))
           continue;
         Option o;
@@ -327,7 +329,7 @@
   for (const std::size_t i : queue_order(jobs)) {
     JobView& job = jobs[i];
     auto& [gpus, cpus] = asked[job.team];
-    const auto n = static_cast<double>(job.pending.size() - job.held.size());
+    const auto n = static_cast<double>(job.pending.size() - job.reservations.size());
     gpus += n * job.need.gpus;
     cpus += n * job.need.cpus;
     const auto g = guaranteed.find(job.team);
--- a/src/sched/rentals.cc
+++ b/src/sched/rentals.cc
@@ -93,10 +93,11 @@
   void settle(const JobView& job, bool spare, double& budget, double dearest) {
     TeamView unlimited;
     TeamView& team = spare ? unlimited : teams_[job.team];
-    auto left = static_cast<std::uint32_t>(job.pending.size() - job.held.size());
+    auto left = static_cast<std::uint32_t>(job.pending.size() - job.reservations.size());
     // Held tasks are in the team's use already.
     left = std::min(left, team.allows(job.need));
-    if (job.kind == wire::JobKind::gang && left < job.pending.size() - job.held.size()) return;
+    if (job.kind == wire::JobKind::gang && left < job.pending.size() - job.reservations.size())
+      return;
     // Room that is being cleared for it.
     if (const auto c = claimed_.find(job.id); !spare && c != claimed_.end())
       for (const MachineView* m : c->second)
@@ -106,8 +107,8 @@
     team.gpus += left * job.need.gpus;
 
     std::map<std::string, std::uint32_t> placed = job.placed;
-    for (const Placement& x : job.held) ++placed[snapshot_.machines[x.machine].zone];
-    std::string only = job.zone.value_or(job.kept_zone.value_or(""));
+    for (const Placement& x : job.reservations) ++placed[snapshot_.machines[x.machine].zone];
+    std::string only = job.zone.value_or(job.reserved_zone.value_or(""));
     if (job.one_zone && only.empty()) {
       for (const auto& [zone, n] : placed)
         if (n > 0) only = zone;
--- a/src/sched/snapshot.h
+++ b/src/sched/snapshot.h
@@ -100,11 +100,11 @@
   std::vector<std::uint32_t> pending;           // tasks to place, lowest first; may be cut short
   std::map<std::string, std::uint32_t> placed;  // by zone: tasks still charged, any attempt
   // Task and machine: where a former attempt of the task can't be forgotten, which is in its way.
-  std::set<std::pair<std::uint32_t, std::size_t>> avoid;
-  bool blocked = false;     // nothing may be placed now
-  bool whole_only = false;  // a gang that timed out once: hold nothing short of its minimum
-  std::optional<std::string> kept_zone;  // the one zone where a large gang's room is kept
-  std::vector<Placement> held;
+  std::set<std::pair<std::uint32_t, std::size_t>> anti_affinity;
+  bool blocked = false;         // nothing may be placed now
+  bool all_or_nothing = false;  // a gang that timed out once: hold nothing short of its minimum
+  std::optional<std::string> reserved_zone;  // the one zone where a large gang's room is kept
+  std::vector<Placement> reservations;
 };
 
 struct TeamView {
@@ -143,8 +143,8 @@
 struct Decisions {
   std::vector<Eviction> evictions;
   std::vector<Batch> starts;
-  std::vector<Batch> holds;   // each gang's whole new set; a gang not named holds nothing
-  std::size_t looked_at = 0;  // machines compared with a job: the work that this pass was
+  std::vector<Batch> reservations;  // each gang's whole new set; a gang not named holds nothing
+  std::size_t looked_at = 0;        // machines compared with a job: the work that this pass was
 };
 
 // Queue sort: priority, turn (the exception of docs/design.md), creation time, id.
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -24,7 +24,7 @@
     record.spec.cpus = 2;
     record.spec.gpus = 1;
     record.spec.memory_gb = 4;
-    record.taken.assign(tasks, false);
+    record.claimed.assign(tasks, false);
     record.finished.assign(tasks, false);
     return record;
   }
@@ -89,7 +89,7 @@
     for (const PlainAttempt& a : plain) {
       const AttemptId id{jobs[a.job].spec.id, a.task, a.number};
       EXPECT_EQ(find_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
-      EXPECT_TRUE(jobs[a.job].taken[a.task]);
+      EXPECT_TRUE(jobs[a.job].claimed[a.task]);
     }
     ASSERT_FALSE(::testing::Test::HasFailure()) << "step " << step;
   }
@@ -111,8 +111,8 @@
   record.finished[0] = true;
   tracker.remove(done);
   tracker.remove(lost);
-  EXPECT_TRUE(record.taken[0]);
-  EXPECT_FALSE(record.taken[1]);
+  EXPECT_TRUE(record.claimed[0]);
+  EXPECT_FALSE(record.claimed[1]);
 }
 
 TEST_F(AttemptTrackerTest, AnAnswerToACommandRaisesNoQuestionAboutItsOwnSession) {
--- a/tests/model/plain_scheduler.h
+++ b/tests/model/plain_scheduler.h
@@ -56,8 +56,8 @@
   void gang(std::size_t j) {
     const auto& job = p_.jobs[j];
     std::vector<std::string> zones{""};
-    if (job.kept_zone) {
-      zones = {*job.kept_zone};
+    if (job.reserved_zone) {
+      zones = {*job.reserved_zone};
     } else if (job.one_zone) {
       zones.clear();
       for (const auto& m : p_.machines)
@@ -83,7 +83,7 @@
       }
     }
     const bool whole = best.size() - start.size() == job.pending.size();
-    out_ = whole || !job.whole_only ? best : start;
+    out_ = whole || !job.all_or_nothing ? best : start;
     if (whole)
       for (auto& x : out_)
         if (x.job == j) x.held = false;
@@ -94,7 +94,9 @@
   void fill(std::size_t j, const std::string& zone, bool held) {
     const auto& job = p_.jobs[j];
     const auto first = out_.size();
-    const auto may = [&](std::uint32_t t, std::size_t i) { return job.avoid.count({t, i}) == 0; };
+    const auto may = [&](std::uint32_t t, std::size_t i) {
+      return job.anti_affinity.count({t, i}) == 0;
+    };
     const auto one = [&](std::size_t i) {
       std::vector<std::uint32_t> rest;
       for (const auto t : job.pending) {
--- a/tests/sched_test.cc
+++ b/tests/sched_test.cc
@@ -72,10 +72,10 @@
       j.placed[std::string(1, static_cast<char>('a' + pick(3)))] = 1;
     }
     for (int k = pick(3) == 0 ? 4 : 0; k > 0; --k)
-      j.avoid.insert({static_cast<std::uint32_t>(pick(6)), pick(machines)});
+      j.anti_affinity.insert({static_cast<std::uint32_t>(pick(6)), pick(machines)});
     j.blocked = pick(8) == 0;
-    j.whole_only = pick(4) == 0;
-    if (j.one_zone && pick(6) == 0) j.kept_zone = "c";
+    j.all_or_nothing = pick(4) == 0;
+    if (j.one_zone && pick(6) == 0) j.reserved_zone = "c";
     p.jobs.push_back(j);
   }
   return p;
@@ -85,7 +85,7 @@
   std::vector<model::Placed> list;
   for (const Batch& b : d.starts)
     for (const Placement& x : b.tasks) list.push_back({b.job, x.task, x.machine, false});
-  for (const Batch& b : d.holds)
+  for (const Batch& b : d.reservations)
     for (const Placement& x : b.tasks) list.push_back({b.job, x.task, x.machine, true});
   std::sort(list.begin(), list.end());
   return list;
@@ -161,7 +161,7 @@
       ASSERT_FALSE(job.blocked);
       for (const Placement& x : b.tasks) {
         const MachineView& m = before.machines[x.machine];
-        ASSERT_EQ(job.avoid.count({x.task, x.machine}), 0u);
+        ASSERT_EQ(job.anti_affinity.count({x.task, x.machine}), 0u);
         ASSERT_TRUE(m.open && allowed(job, m.type, m.zone, m.spot));
         ASSERT_TRUE(job.need.fits_in(free[x.machine]));
         free[x.machine] -= job.need;
@@ -180,11 +180,11 @@
       if (job.kind == wire::JobKind::gang) {
         // A gang starts whole or holds; one that timed out holds nothing.
         ASSERT_EQ(b.tasks.size() == job.pending.size(), start);
-        ASSERT_TRUE(start || !job.whole_only);
+        ASSERT_TRUE(start || !job.all_or_nothing);
       }
     };
     for (const Batch& b : d.starts) count(b, true);
-    for (const Batch& b : d.holds) count(b, false);
+    for (const Batch& b : d.reservations) count(b, false);
   }
 }
 
