--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -33,7 +33,7 @@
   std::set<std::string> zones;  // where a task fits an allowed type
   for (const auto& [name, t] : types_.types())
     for (const std::string& zone : t.zones)
-      if (sched::hosts(t, job) && (!job.zone || *job.zone == zone)) zones.insert(zone);
+      if (sched::fits_empty(t, job) && (!job.zone || *job.zone == zone)) zones.insert(zone);
   if (zones.empty()) return "a task fits no allowed machine type";
   // What must run all at once, and at most half of it in one zone.
   if (job.kind != wire::JobKind::array && job.spread && job.tasks > 1 &&
--- a/src/leader/attempt_tracker.cc
+++ b/src/leader/attempt_tracker.cc
@@ -7,7 +7,7 @@
 namespace seampass::leader {
 
 using net::Ms;
-using sched::need_of;
+using sched::request_of;
 using wire::TaskState;
 
 namespace {
@@ -25,7 +25,7 @@
   attempt.incarnation = incarnation;
   job.claimed[task] = true;
   machine.attempts[{job.spec.id, task}] = &attempt;
-  usage_[job.spec.team] += need_of(job.spec);
+  usage_[job.spec.team] += request_of(job.spec);
   machine.stale = true;
   return attempt;
 }
@@ -38,7 +38,7 @@
   machine.attempts.erase({job.spec.id, task});
   machine.idle_since = runtime_.now();
   machine.stale = true;
-  usage_[job.spec.team] -= need_of(job.spec);
+  usage_[job.spec.team] -= request_of(job.spec);
   job.attempts.erase(task);
   if (!job.ended) job.claimed[task] = job.finished[task];
   job.first_unclaimed_task = std::min(job.first_unclaimed_task, task);
@@ -65,9 +65,9 @@
   attempt.stop_since = runtime_.now();
 }
 
-sched::Need AttemptTracker::usage(const std::string& team) const {
+sched::Resources AttemptTracker::usage(const std::string& team) const {
   const auto it = usage_.find(team);
-  return it == usage_.end() ? sched::Need{} : it->second;
+  return it == usage_.end() ? sched::Resources{} : it->second;
 }
 
 bool AttemptTracker::mark_missing(Machine& machine, const std::set<TaskId>& reported,
--- a/src/leader/attempt_tracker.h
+++ b/src/leader/attempt_tracker.h
@@ -38,7 +38,7 @@
   // Marks it as to be stopped; the first call counts.
   void stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason why);
 
-  sched::Need usage(const std::string& team) const;
+  sched::Resources usage(const std::string& team) const;
 
   // Notes which attempts a report of this machine lacks; true if any is missing now. A heartbeat
   // that lacks an attempt which was seen before raises the question, as does any report of another
@@ -52,7 +52,7 @@
 
  private:
   net::Runtime& runtime_;
-  std::map<std::string, sched::Need> usage_;  // by team
+  std::map<std::string, sched::Resources> usage_;  // by team
 };
 
 // The attempt with this id on this machine, if it still exists.
--- a/src/leader/cluster_view.cc
+++ b/src/leader/cluster_view.cc
@@ -8,7 +8,7 @@
 namespace seampass::leader {
 
 using net::Ms;
-using sched::need_of;
+using sched::request_of;
 using wire::TaskState;
 
 namespace {
@@ -31,10 +31,10 @@
   v.victims.clear();
   for (const auto& [key, c] : m.attempts) {
     const wire::Job& spec = c->job->spec;
-    v.free -= need_of(spec);
+    v.free -= request_of(spec);
     // Only what saves, runs, and is not being stopped already.
     if (!c->job->gang() && spec.checkpoint_s > 0 && c->state == TaskState::running && !c->stop)
-      v.victims.push_back({spec.id, c->task, spec.priority, need_of(spec), spec.image, spec.spot,
+      v.victims.push_back({spec.id, c->task, spec.priority, request_of(spec), spec.image, spec.spot,
                            !spec.zone && !spec.one_zone && !spec.spread, 0, spec.save_s});
   }
   v.images = m.images;
@@ -95,7 +95,7 @@
     sched::TeamView& v = snapshot_.teams[t.name];
     if (t.cpus_max > 0) v.cpus_max = t.cpus_max;
     if (t.gpus_max > 0) v.gpus_max = t.gpus_max;
-    const sched::Need usage = attempts_.usage(t.name);
+    const sched::Resources usage = attempts_.usage(t.name);
     v.cpus = usage.cpus;
     v.gpus = usage.gpus;
   }
@@ -158,9 +158,9 @@
     if (!machine || machine->slot == Machine::kNoSlot) continue;
     sched::MachineView& room = snapshot_.machines[machine->slot];
     if (!room.open) continue;
-    room.free -= view.need;
-    snapshot_.teams[view.team].cpus += view.need.cpus;
-    snapshot_.teams[view.team].gpus += view.need.gpus;
+    room.free -= view.request;
+    snapshot_.teams[view.team].cpus += view.request.cpus;
+    snapshot_.teams[view.team].gpus += view.request.gpus;
     view.reservations.push_back({task, machine->slot});
   }
 }
@@ -192,7 +192,7 @@
     v.kind = job->spec.kind;
     v.priority = dependencies_.graph().effective_priority(id);
     v.created_ms = job->created_ms;
-    v.need = need_of(job->spec);
+    v.request = request_of(job->spec);
     v.types = &job->spec.types;
     v.zone = job->spec.zone;
     v.one_zone = job->spec.one_zone;
@@ -232,7 +232,7 @@
       std::map<std::string, std::uint32_t> hosts;
       for (const sched::MachineView& m : snapshot_.machines)
         if ((m.open || m.booting) && !taken.contains(m.zone) &&
-            sched::allowed(v, m.type, m.zone, m.spot) && sched::capacity(v.need, m.total) > 0)
+            sched::allowed(v, m.type, m.zone, m.spot) && sched::capacity(v.request, m.total) > 0)
           ++hosts[m.zone];
       if (late) hosts.erase(job.reserved_zone);
       std::string best;
--- a/src/leader/planning.cc
+++ b/src/leader/planning.cc
@@ -10,7 +10,7 @@
 namespace seampass::leader {
 
 using net::Ms;
-using sched::need_of;
+using sched::request_of;
 using state::Urgency;
 
 namespace {
@@ -113,7 +113,7 @@
   double boot = 0;
   double fetch = 0;
   for (const auto& [name, t] : types_.types()) {
-    if (!sched::hosts(t, spec)) continue;
+    if (!sched::fits_empty(t, spec)) continue;
     boot = std::max(boot, t.boot_s);
     if (t.fetch_gb_per_s > 0) fetch = std::max(fetch, spec.image_gb / t.fetch_gb_per_s);
   }
@@ -147,7 +147,7 @@
     double boot = 0;
     double cheapest = std::numeric_limits<double>::infinity();
     for (const auto& [name, t] : types_.types()) {
-      if (!sched::hosts(t, spec)) continue;
+      if (!sched::fits_empty(t, spec)) continue;
       boot = std::max(boot, t.boot_s);
       cheapest = std::min(cheapest, spec.spot ? t.spot_price : t.price);
     }
@@ -179,7 +179,7 @@
     s.dearest = kSpareDearest * cheapest;
     s.job.kind = wire::JobKind::array;
     s.job.priority = wire::Priority::low;
-    s.job.need = need_of(spec);
+    s.job.request = request_of(spec);
     s.job.types = &spec.types;
     s.job.zone = spec.zone;
     s.job.spot = spec.spot;
@@ -223,7 +223,8 @@
       // The owner's estimate, often wrong: what has outlived it may take some more.
       const double run_s =
           c->running_since == 0 ? 0 : static_cast<double>(now - c->running_since) / 1000;
-      releases.emplace_back(std::max(spec.estimate_s - run_s, spec.estimate_s / 4), need_of(spec));
+      releases.emplace_back(std::max(spec.estimate_s - run_s, spec.estimate_s / 4),
+                            request_of(spec));
     }
   }
   const auto options = fleet_.options();
--- a/src/leader/recovery.cc
+++ b/src/leader/recovery.cc
@@ -119,9 +119,9 @@
   auto job = std::make_unique<JobRecord>();
   job->spec.id = id;
   job->spec.team = record.team;
-  job->spec.cpus = record.need.cpus;
-  job->spec.gpus = record.need.gpus;
-  job->spec.memory_gb = record.need.memory_gb;
+  job->spec.cpus = record.request.cpus;
+  job->spec.gpus = record.request.gpus;
+  job->spec.memory_gb = record.request.memory_gb;
   job->spec.tasks = record.job_tasks;
   job->ending = job->concluding = job->ended = true;
   job->claimed.assign(job->spec.tasks, true);
--- a/src/leader/task_record.cc
+++ b/src/leader/task_record.cc
@@ -73,9 +73,9 @@
   Json value{{"attempt", record.last_attempt},
              {"tasks", std::move(tasks)},
              {"team", record.team},
-             {"cpus", record.need.cpus},
-             {"gpus", record.need.gpus},
-             {"memory", record.need.memory_gb},
+             {"cpus", record.request.cpus},
+             {"gpus", record.request.gpus},
+             {"memory", record.request.memory_gb},
              {"of", record.job_tasks},
              {"first", record.range.first},
              {"span", record.range.end - record.range.first}};
@@ -107,8 +107,8 @@
   record.id = id;
   record.last_attempt = wire::count_field(value, "attempt");
   record.team = wire::text_field(value, "team");
-  record.need = {wire::amount_field(value, "cpus"), wire::amount_field(value, "gpus"),
-                 wire::amount_field(value, "memory")};
+  record.request = {wire::amount_field(value, "cpus"), wire::amount_field(value, "gpus"),
+                    wire::amount_field(value, "memory")};
   record.job_tasks = task_count(value, "of");
   if (value.contains("span")) {
     record.range.first = task_count(value, "first");
--- a/src/leader/task_record.h
+++ b/src/leader/task_record.h
@@ -26,7 +26,7 @@
   TaskRange range;
   std::uint64_t last_attempt = 0;  // of the job
   std::string team;
-  sched::Need need;             // of each task
+  sched::Resources request;     // of each task
   std::uint32_t job_tasks = 0;  // of the whole job
   std::vector<Assignment> assignments;
   std::vector<bool> finished;  // by task, from the first of the range
--- a/src/leader/task_records.cc
+++ b/src/leader/task_records.cc
@@ -56,7 +56,7 @@
   if (job->ended && held.assignments.empty()) return std::nullopt;
   held.last_attempt = job->last_attempt;
   held.team = job->spec.team;
-  held.need = sched::need_of(job->spec);
+  held.request = sched::request_of(job->spec);
   held.job_tasks = job->spec.tasks;
   held.finished.assign(job->finished.begin() + held.range.first,
                        job->finished.begin() + held.range.end);
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -30,10 +30,10 @@
   std::vector<std::size_t> machines;
   // Needs that no machine of the pool had room for in this pass: what asks for as much or more
   // need not look. Room only shrinks in a pass, but for holds given up, which clear these.
-  std::vector<Need> hopeless;
+  std::vector<Resources> infeasible_requests;
 };
 
-constexpr std::size_t kMostHopeless = 16;
+constexpr std::size_t kMaxInfeasibleRequests = 16;
 
 class Pass {
  public:
@@ -69,7 +69,7 @@
   Score score(const JobView& job, std::size_t i) const {
     const MachineView& m = snapshot_.machines[i];
     if (snapshot_.choice == MachineChoice::first_fit) return {false, false, 0, false, 0, 0, i};
-    const bool wasted = job.need.gpus == 0 && m.total.gpus > 0;
+    const bool wasted = job.request.gpus == 0 && m.total.gpus > 0;
     const bool cached = m.images.contains(job.image);
     const bool hurry = job.urgent || job.guaranteed;
     return {wasted, hurry && !cached, m.price, !cached, m.free.gpus, m.free.cpus, i};
@@ -82,19 +82,20 @@
     for (Pool& pool : pools_) {
       const MachineView& like = *pool.like;
       if ((zone && like.zone != *zone) || !allowed(job, like.type, like.zone, like.spot)) continue;
-      if (std::any_of(pool.hopeless.begin(), pool.hopeless.end(),
-                      [&](const Need& n) { return n.fits_in(job.need); }))
+      if (std::any_of(pool.infeasible_requests.begin(), pool.infeasible_requests.end(),
+                      [&](const Resources& n) { return n.fits_in(job.request); }))
         continue;
       bool room = false;
       for (const std::size_t i : pool.machines) {
         const MachineView& m = snapshot_.machines[i];
         ++out_.looked_at;
-        if (!job.need.fits_in(m.free)) continue;
+        if (!job.request.fits_in(m.free)) continue;
         room = true;
         if (!m.nominated_job.empty() && m.nominated_job != job.id) continue;
         list.push_back(score(job, i));
       }
-      if (!room && pool.hopeless.size() < kMostHopeless) pool.hopeless.push_back(job.need);
+      if (!room && pool.infeasible_requests.size() < kMaxInfeasibleRequests)
+        pool.infeasible_requests.push_back(job.request);
     }
     std::sort(list.begin(), list.end());
     return list;
@@ -102,18 +103,18 @@
 
   // Reserve / unreserve.
   void take(const JobView& job, std::size_t machine) {
-    snapshot_.machines[machine].free -= job.need;
+    snapshot_.machines[machine].free -= job.request;
     TeamView& team = snapshot_.teams[job.team];
-    team.cpus += job.need.cpus;
-    team.gpus += job.need.gpus;
+    team.cpus += job.request.cpus;
+    team.gpus += job.request.gpus;
   }
 
   void undo(const JobView& job, const std::vector<Placement>& placements) {
     TeamView& team = snapshot_.teams[job.team];
     for (const Placement& x : placements) {
-      snapshot_.machines[x.machine].free += job.need;
-      team.cpus -= job.need.cpus;
-      team.gpus -= job.need.gpus;
+      snapshot_.machines[x.machine].free += job.request;
+      team.cpus -= job.request.cpus;
+      team.gpus -= job.request.gpus;
     }
   }
 
@@ -153,12 +154,13 @@
     Zones placed = job.placed;
     std::vector<Placement> result;
     const std::size_t most =
-        std::min<std::size_t>(job.pending.size(), snapshot_.teams[job.team].allows(job.need));
+        std::min<std::size_t>(job.pending.size(), snapshot_.teams[job.team].allows(job.request));
     if (most == 0) return result;
     for (const Score& c : candidates(job, zone)) {
       const std::size_t i = std::get<std::size_t>(c);
       const MachineView& m = snapshot_.machines[i];
-      while (result.size() < most && job.need.fits_in(m.free) && zone_allows(job, placed, m.zone)) {
+      while (result.size() < most && job.request.fits_in(m.free) &&
+             zone_allows(job, placed, m.zone)) {
         if (!place_next(job, i, result)) break;
         take(job, i);
         ++placed[m.zone];
@@ -187,7 +189,7 @@
     if (!job.reservations.empty()) {
       undo(job, job.reservations);
       job.reservations.clear();
-      for (Pool& pool : pools_) pool.hopeless.clear();
+      for (Pool& pool : pools_) pool.infeasible_requests.clear();
     }
     std::set<std::string> zones;
     if (job.one_zone && !job.reserved_zone) {
@@ -230,9 +232,9 @@
     const JobView& job = snapshot_.jobs[j];
     std::size_t lacks = job.pending.size() - job.reservations.size();
     if (job.kind == wire::JobKind::gang) {
-      if (lacks > snapshot_.teams[job.team].allows(job.need)) return;
+      if (lacks > snapshot_.teams[job.team].allows(job.request)) return;
     } else {
-      lacks = std::min<std::size_t>(lacks, snapshot_.teams[job.team].allows(job.need));
+      lacks = std::min<std::size_t>(lacks, snapshot_.teams[job.team].allows(job.request));
     }
     Zones placed = job.placed;
     for (const Placement& x : job.reservations) ++placed[snapshot_.machines[x.machine].zone];
@@ -250,7 +252,7 @@
         const MachineView& m = snapshot_.machines[i];
         ++out_.looked_at;
         if (m.nominated_job == job.id) {
-          const std::size_t n = capacity(job.need, m.total);
+          const std::size_t n = capacity(job.request, m.total);
           lacks -= std::min(lacks, n);
           if (lacks == 0) return;
         }
@@ -260,18 +262,18 @@
           continue;
         Option o;
         o.machine = i;
-        Need left = m.free;
+        Resources left = m.free;
         const std::size_t most = job.kind == wire::JobKind::gang ? 1 : lacks;
         for (const Victim& v : m.victims) {
-          if (job.need.fits_in(left)) {
-            left -= job.need;
+          if (job.request.fits_in(left)) {
+            left -= job.request;
             if (++o.fits == most) break;
           }
           if (v.priority <= job.priority) continue;
-          left += v.need;
+          left += v.request;
           o.tasks.push_back(v);
         }
-        if (o.fits < most && job.need.fits_in(left)) ++o.fits;
+        if (o.fits < most && job.request.fits_in(left)) ++o.fits;
         if (o.tasks.empty() || o.fits == 0) continue;
         // A fetch takes longer than stopping some tasks more.
         o.cost = o.tasks.size() + (!m.images.contains(job.image) ? 1000 : 0);
@@ -301,7 +303,7 @@
 
 }  // namespace
 
-std::uint32_t TeamView::allows(const Need& need) const {
+std::uint32_t TeamView::allows(const Resources& need) const {
   constexpr double slack = 1e-6;
   double n = wire::kMaxTasks;
   if (cpus_max && need.cpus > 0) n = std::min(n, (*cpus_max - cpus + slack) / need.cpus);
@@ -330,10 +332,10 @@
     JobView& job = jobs[i];
     auto& [gpus, cpus] = asked[job.team];
     const auto n = static_cast<double>(job.pending.size() - job.reservations.size());
-    gpus += n * job.need.gpus;
-    cpus += n * job.need.cpus;
+    gpus += n * job.request.gpus;
+    cpus += n * job.request.cpus;
     const auto g = guaranteed.find(job.team);
-    if (job.need.gpus > 0 && g != guaranteed.end() && g->second > 0) {
+    if (job.request.gpus > 0 && g != guaranteed.end() && g->second > 0) {
       const double share = gpus / g->second;
       job.fair_share_rank =
           share <= 1 ? 0 : share;  // within its guarantee a team waits on no other
@@ -352,7 +354,7 @@
   return true;
 }
 
-std::uint32_t capacity(const Need& need, const Need& total) {
+std::uint32_t capacity(const Resources& need, const Resources& total) {
   double n = wire::kMaxTasks;
   if (need.cpus > 0) n = std::min(n, total.cpus / need.cpus + 1e-9);
   if (need.gpus > 0) n = std::min(n, total.gpus / need.gpus + 1e-9);
--- a/src/sched/rentals.cc
+++ b/src/sched/rentals.cc
@@ -38,7 +38,7 @@
   struct Room {
     const MachineView* m;
     std::size_t index;
-    Need free;
+    Resources free;
   };
 
   void add(const MachineView& m, std::size_t index) {
@@ -48,8 +48,8 @@
     if (m.open || m.booting) rooms_.push_back({&m, index, m.free});
   }
 
-  static Need coming(const JobView& job, const Room& r) {
-    Need n = r.free;
+  static Resources coming(const JobView& job, const Room& r) {
+    Resources n = r.free;
     for (const auto& [in_s, need] : r.m->releases)
       if (in_s <= job.wait_budget_s) n += need;
     return n;
@@ -62,12 +62,12 @@
     for (const std::size_t i : releasing_) {
       const MachineView& m = *rooms_[i].m;
       if (allowed(job, m.type, m.zone, m.spot))
-        there[m.zone] += job.need.fits_in(coming(job, rooms_[i])) ? 1 : 0;
+        there[m.zone] += job.request.fits_in(coming(job, rooms_[i])) ? 1 : 0;
     }
     for (const std::size_t i : booting_) {
       const MachineView& m = *rooms_[i].m;
       if (allowed(job, m.type, m.zone, m.spot))
-        there[m.zone] += job.need.fits_in(rooms_[i].free) ? 1 : 0;
+        there[m.zone] += job.request.fits_in(rooms_[i].free) ? 1 : 0;
     }
     std::string best;
     std::tuple<bool, double, double> best_cost;
@@ -76,7 +76,7 @@
       double price = std::numeric_limits<double>::infinity();
       for (const RentalOption& o : options_)
         if (o.zone == zone && allowed(job, o.type, o.zone, o.spot) &&
-            capacity(job.need, o.total) > 0)
+            capacity(job.request, o.total) > 0)
           price = std::min(price, o.price);
       const bool never = lacks > 0 && !std::isfinite(price);
       const auto cost = std::make_tuple(never, lacks, never ? 0 : lacks * price);
@@ -95,16 +95,17 @@
     TeamView& team = spare ? unlimited : teams_[job.team];
     auto left = static_cast<std::uint32_t>(job.pending.size() - job.reservations.size());
     // Held tasks are in the team's use already.
-    left = std::min(left, team.allows(job.need));
+    left = std::min(left, team.allows(job.request));
     if (job.kind == wire::JobKind::gang && left < job.pending.size() - job.reservations.size())
       return;
     // Room that is being cleared for it.
     if (const auto c = claimed_.find(job.id); !spare && c != claimed_.end())
       for (const MachineView* m : c->second)
-        left -= std::min(left, job.kind == wire::JobKind::gang ? 1 : capacity(job.need, m->total));
+        left -=
+            std::min(left, job.kind == wire::JobKind::gang ? 1 : capacity(job.request, m->total));
     if (left == 0) return;
-    team.cpus += left * job.need.cpus;
-    team.gpus += left * job.need.gpus;
+    team.cpus += left * job.request.cpus;
+    team.gpus += left * job.request.gpus;
 
     std::map<std::string, std::uint32_t> placed = job.placed;
     for (const Placement& x : job.reservations) ++placed[snapshot_.machines[x.machine].zone];
@@ -121,7 +122,7 @@
       return it == placed.end() || it->second < (job.tasks + 1) / 2;
     };
     const auto take = [&](Room& r) {
-      r.free -= job.need;
+      r.free -= job.request;
       ++placed[r.m->zone];
       --left;
     };
@@ -131,9 +132,9 @@
       if (left == 0 || spare) break;
       Room& r = rooms_[i];
       if (!allowed(job, r.m->type, r.m->zone, r.m->spot)) continue;
-      Need next = coming(job, r);
-      while (left > 0 && job.need.fits_in(next) && zone_ok(r.m->zone)) {
-        next -= job.need;
+      Resources next = coming(job, r);
+      while (left > 0 && job.request.fits_in(next) && zone_ok(r.m->zone)) {
+        next -= job.request;
         take(r);  // leaves its free room below zero: a promise on what comes free
       }
     }
@@ -150,7 +151,7 @@
       Room& r = rooms_[i];
       const MachineView& m = *r.m;
       if (m.price > dearest || !allowed(job, m.type, m.zone, m.spot)) continue;
-      while (left > 0 && job.need.fits_in(r.free) && zone_ok(m.zone)) {
+      while (left > 0 && job.request.fits_in(r.free) && zone_ok(m.zone)) {
         if (spare && m.open && !plan_.keep.contains(r.index)) {
           const bool idle = r.free.cpus >= m.total.cpus && r.free.gpus >= m.total.gpus;
           if (idle && m.price > budget) break;
@@ -165,7 +166,7 @@
       double best_cost = std::numeric_limits<double>::infinity();
       for (std::size_t i = 0; i < options_.size(); ++i) {
         const RentalOption& o = options_[i];
-        const std::uint32_t fit = std::min(capacity(job.need, o.total), left);
+        const std::uint32_t fit = std::min(capacity(job.request, o.total), left);
         if (fit == 0 || !allowed(job, o.type, o.zone, o.spot) || !zone_ok(o.zone)) continue;
         if (o.price > budget || o.price > dearest) continue;
         const double cost = o.price / fit;
@@ -186,7 +187,7 @@
       m.total = m.free = o.total;
       booting_.push_back(rooms_.size());
       rooms_.push_back({&m, snapshot_.machines.size(), o.total});
-      while (left > 0 && job.need.fits_in(rooms_.back().free) && zone_ok(o.zone))
+      while (left > 0 && job.request.fits_in(rooms_.back().free) && zone_ok(o.zone))
         take(rooms_.back());
     }
   }
@@ -225,7 +226,7 @@
     return std::make_tuple(snapshot.machines[a].tasks, -snapshot.machines[a].price, a) <
            std::make_tuple(snapshot.machines[b].tasks, -snapshot.machines[b].price, b);
   });
-  std::map<std::size_t, Need> free;  // of machines that tasks are moved to
+  std::map<std::size_t, Resources> free;  // of machines that tasks are moved to
   const auto room = [&](std::size_t i) {
     const auto it = free.find(i);
     return it == free.end() ? snapshot.machines[i].free : it->second;
@@ -234,7 +235,7 @@
     const std::size_t i = order[at];
     const MachineView& m = snapshot.machines[i];
     if (m.victims.size() != m.tasks || free.contains(i)) continue;
-    std::map<std::size_t, Need> taken;
+    std::map<std::size_t, Resources> taken;
     bool all = true;
     for (const Victim& v : m.victims) {
       all = v.anywhere && v.left_s > worth * (v.save_s + restart_s);
@@ -247,10 +248,10 @@
         if (other.type != m.type) continue;
         if ((other.spot && !v.spot) || !other.images.contains(v.image)) continue;
         const auto before = taken.find(to);
-        const Need left = before == taken.end() ? room(to) : before->second;
-        if (!v.need.fits_in(left)) continue;
+        const Resources left = before == taken.end() ? room(to) : before->second;
+        if (!v.request.fits_in(left)) continue;
         taken[to] = left;
-        taken[to] -= v.need;
+        taken[to] -= v.request;
         placed = true;
       }
       all = placed;
--- a/src/sched/snapshot.h
+++ b/src/sched/snapshot.h
@@ -14,21 +14,21 @@
 
 namespace seampass::sched {
 
-struct Need {
+struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
 
-  bool fits_in(const Need& room) const {
+  bool fits_in(const Resources& room) const {
     constexpr double slack = 1e-6;  // amounts are decimal fractions summed in binary
     return cpus <= room.cpus + slack && gpus <= room.gpus + slack &&
            memory_gb <= room.memory_gb + slack;
   }
-  Need& operator+=(const Need& o) {
+  Resources& operator+=(const Resources& o) {
     cpus += o.cpus;
     gpus += o.gpus;
     memory_gb += o.memory_gb;
     return *this;
   }
-  Need& operator-=(const Need& o) {
+  Resources& operator-=(const Resources& o) {
     cpus -= o.cpus;
     gpus -= o.gpus;
     memory_gb -= o.memory_gb;
@@ -36,23 +36,23 @@
   }
 };
 
-inline Need need_of(const wire::Job& j) { return {j.cpus, j.gpus, j.memory_gb}; }
+inline Resources request_of(const wire::Job& j) { return {j.cpus, j.gpus, j.memory_gb}; }
 
 // May a task of this job ever be on an empty machine of this type?
-inline bool hosts(const wire::MachineType& t, const wire::Job& j) {
-  return need_of(j).fits_in({t.cpus, t.gpus, t.memory_gb}) &&
+inline bool fits_empty(const wire::MachineType& t, const wire::Job& j) {
+  return request_of(j).fits_in({t.cpus, t.gpus, t.memory_gb}) &&
          (!j.types || std::find(j.types->begin(), j.types->end(), t.name) != j.types->end());
 }
 
 // How many tasks of this need an empty machine takes.
-std::uint32_t capacity(const Need& need, const Need& total);
+std::uint32_t capacity(const Resources& need, const Resources& total);
 
 // A running task that may be stopped for work of a higher priority: it saves its progress.
 struct Victim {
   std::string job;
   std::uint32_t task = 0;
   wire::Priority priority = wire::Priority::normal;
-  Need need;
+  Resources request;
   std::string image{};
   bool spot = false;      // may use spot machines
   bool anywhere = false;  // no rule ties it to a zone
@@ -67,11 +67,11 @@
   bool spot = false;
   bool open = false;     // tasks may be started on it now
   bool booting = false;  // will be open later
-  Need total, free;
+  Resources total, free;
   double price = 0;  // an hour
   std::set<std::string> images;
-  std::size_t tasks = 0;                          // on it, in any state
-  std::vector<std::pair<double, Need>> releases;  // in how many seconds which room comes free
+  std::size_t tasks = 0;                               // on it, in any state
+  std::vector<std::pair<double, Resources>> releases;  // in how many seconds which room comes free
 };
 
 struct Placement {
@@ -86,7 +86,7 @@
   // 0 on the ordinary path. When more is asked than there is: how far the team is beyond its share.
   double fair_share_rank = 0;
   std::int64_t created_ms = 0;
-  Need need;
+  Resources request;
   const std::optional<std::vector<std::string>>* types = nullptr;  // null: any
   std::optional<std::string> zone;
   bool one_zone = false, spread = false, spot = false;
@@ -112,7 +112,7 @@
   double cpus = 0, gpus = 0;  // charged and held
 
   // How many tasks of this need the limit still allows.
-  std::uint32_t allows(const Need& need) const;
+  std::uint32_t allows(const Resources& need) const;
 };
 
 // Teams served in turn by shares: sets each job's `turn` from what its team uses and has asked for
@@ -161,7 +161,7 @@
   std::string type, zone;
   bool spot = false;
   double price = 0;
-  Need total;
+  Resources total;
 };
 
 struct RentalWish {
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -193,9 +193,9 @@
 
   EXPECT_EQ(record.last_attempt, 41U);
   EXPECT_EQ(record.team, "green");
-  EXPECT_EQ(record.need.cpus, 6.5);
-  EXPECT_EQ(record.need.gpus, 2);
-  EXPECT_EQ(record.need.memory_gb, 48);
+  EXPECT_EQ(record.request.cpus, 6.5);
+  EXPECT_EQ(record.request.gpus, 2);
+  EXPECT_EQ(record.request.memory_gb, 48);
   EXPECT_EQ(record.job_tasks, 30U);
   EXPECT_EQ(record.range.first, 20U);
   EXPECT_EQ(record.range.end, 30U);
--- a/tests/model/plain_scheduler.h
+++ b/tests/model/plain_scheduler.h
@@ -128,21 +128,23 @@
     if (job.types && *job.types &&
         std::count((*job.types)->begin(), (*job.types)->end(), m.type) == 0)
       return false;
-    sched::Need free = m.free;
-    sched::Need team{p_.teams.at(job.team).cpus, p_.teams.at(job.team).gpus, 0};
+    sched::Resources free = m.free;
+    sched::Resources team{p_.teams.at(job.team).cpus, p_.teams.at(job.team).gpus, 0};
     auto in_zone = job.placed;
     for (const auto& x : out_) {
       const auto& other = p_.jobs[x.job];
-      if (x.machine == i) free -= other.need;
-      if (other.team == job.team) team += other.need;
+      if (x.machine == i) free -= other.request;
+      if (other.team == job.team) team += other.request;
       if (x.job == j) ++in_zone[p_.machines[x.machine].zone];
     }
     const auto& limit = p_.teams.at(job.team);
-    if (limit.cpus_max && job.need.cpus > 0 && team.cpus + job.need.cpus > *limit.cpus_max + 1e-6)
+    if (limit.cpus_max && job.request.cpus > 0 &&
+        team.cpus + job.request.cpus > *limit.cpus_max + 1e-6)
       return false;
-    if (limit.gpus_max && job.need.gpus > 0 && team.gpus + job.need.gpus > *limit.gpus_max + 1e-6)
+    if (limit.gpus_max && job.request.gpus > 0 &&
+        team.gpus + job.request.gpus > *limit.gpus_max + 1e-6)
       return false;
-    if (!job.need.fits_in(free)) return false;
+    if (!job.request.fits_in(free)) return false;
     bool elsewhere = false;
     for (const auto& [z, n] : in_zone) elsewhere = elsewhere || (n > 0 && z != m.zone);
     if (job.one_zone && elsewhere) return false;
--- a/tests/sched_test.cc
+++ b/tests/sched_test.cc
@@ -11,12 +11,12 @@
 const std::optional<std::vector<std::string>> kAny;
 const std::optional<std::vector<std::string>> kOnlyBig = std::vector<std::string>{"big"};
 
-JobView waiting(const std::string& id, wire::JobKind kind, std::uint32_t tasks, Need need) {
+JobView waiting(const std::string& id, wire::JobKind kind, std::uint32_t tasks, Resources need) {
   JobView j;
   j.id = id;
   j.team = "red";
   j.kind = kind;
-  j.need = need;
+  j.request = need;
   j.types = &kAny;
   j.tasks = tasks;
   j.spot = true;
@@ -58,7 +58,7 @@
     j.priority = static_cast<wire::Priority>(pick(4));
     j.fair_share_rank = pick(4) == 0 ? 1 + pick(2) : 0;
     j.created_ms = pick(4);
-    j.need = {1.0 + pick(5), pick(2) * 1.0, 8.0 * pick(4)};
+    j.request = {1.0 + pick(5), pick(2) * 1.0, 8.0 * pick(4)};
     j.types = pick(3) == 0 ? &kOnlyBig : &kAny;
     if (pick(5) == 0) j.zone = "b";
     j.one_zone = pick(2);
@@ -122,7 +122,7 @@
     m.open = true;
     m.total = {16, 4, 64};
     // Nearly all are full, as machines of a busy cluster are; some room is left over on each.
-    m.free = pick(40) == 0 ? m.total : Need{pick(3) * 1.0, 0, 8};
+    m.free = pick(40) == 0 ? m.total : Resources{pick(3) * 1.0, 0, 8};
     p.machines.push_back(m);
   }
   std::size_t tasks = 0;
@@ -152,7 +152,7 @@
     ClusterSnapshot p = random_picture(random, MachineChoice::scored);
     const ClusterSnapshot before = p;
     const Decisions d = pass(p);
-    std::vector<Need> free;
+    std::vector<Resources> free;
     for (const auto& m : before.machines) free.push_back(m.free);
     auto teams = before.teams;
     const auto count = [&](const Batch& b, bool start) {
@@ -163,12 +163,12 @@
         const MachineView& m = before.machines[x.machine];
         ASSERT_EQ(job.anti_affinity.count({x.task, x.machine}), 0u);
         ASSERT_TRUE(m.open && allowed(job, m.type, m.zone, m.spot));
-        ASSERT_TRUE(job.need.fits_in(free[x.machine]));
-        free[x.machine] -= job.need;
+        ASSERT_TRUE(job.request.fits_in(free[x.machine]));
+        free[x.machine] -= job.request;
         TeamView& t = teams[job.team];
-        ASSERT_GE(t.allows(job.need), 1u);
-        t.cpus += job.need.cpus;
-        t.gpus += job.need.gpus;
+        ASSERT_GE(t.allows(job.request), 1u);
+        t.cpus += job.request.cpus;
+        t.gpus += job.request.gpus;
         ++zones[m.zone];
       }
       std::uint32_t used = 0;
@@ -288,7 +288,7 @@
     m.free = m.total;
     m.tasks = tasks;
     m.victims.assign(tasks, task);
-    for (std::size_t i = 0; i < tasks; ++i) m.free -= task.need;
+    for (std::size_t i = 0; i < tasks; ++i) m.free -= task.request;
     p.machines.push_back(m);
   }
   using Indices = std::vector<std::size_t>;
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -197,7 +197,7 @@
   record.range = layout.range(record.id, 100000);
   record.last_attempt = 9999;
   record.team = std::string(200, 't');
-  record.need = {123.456, 12.345, 1234.567};
+  record.request = {123.456, 12.345, 1234.567};
   record.job_tasks = 100000;
   record.finished.assign(record.range.end - record.range.first, true);
   for (std::uint32_t task = record.range.first; task < record.range.end; ++task)
