--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -200,7 +200,7 @@
     } else if (key == "idle_return") {
       o.idle_return = number(0);
     } else if (key == "spare_share") {
-      o.spare_share = number(0);
+      o.headroom_share = number(0);
     } else if (key == "machine_choice") {
       o.machine_choice = entry.second.IsScalar() ? entry.second.as<std::string>() : "";
       if (o.machine_choice != "scored" && o.machine_choice != "first-fit")
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -64,7 +64,7 @@
   double idle_return = 0.25;   // an idle machine is returned after this many of its boot times
   // What machines kept free for classes with a start aim may cost, as a share of all that is
   // rented.
-  double spare_share = 0.08;
+  double headroom_share = 0.08;
   std::string machine_choice = "scored";  // or "first-fit"
 };
 
--- a/src/leader/cluster_view.cc
+++ b/src/leader/cluster_view.cc
@@ -75,8 +75,8 @@
     if (now < m.nominated_until && jobs_.contains(m.nominated_job))
       v.nominated_job = m.nominated_job;
   }
-  snapshot_.asked.clear();
-  for (const auto& [request, asked] : fleet_.asked()) {
+  snapshot_.pending_scale_out.clear();
+  for (const auto& [request, asked] : fleet_.pending_scale_out()) {
     const wire::MachineType* type = types_.find(asked.type);
     if (!type) continue;
     sched::MachineView v;
@@ -85,7 +85,8 @@
     v.spot = asked.spot;
     v.booting = true;
     v.total = v.free = {type->cpus, type->gpus, type->memory_gb};
-    snapshot_.asked.insert(snapshot_.asked.end(), static_cast<std::size_t>(asked.count), v);
+    snapshot_.pending_scale_out.insert(snapshot_.pending_scale_out.end(),
+                                       static_cast<std::size_t>(asked.count), v);
   }
 }
 
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -74,7 +74,7 @@
     for (const auto& w : job->waiters) w({});
   jobs_.clear();
   attempts_.clear();
-  kept_.clear();
+  headroom_machines_.clear();
   snapshot_ = {};
   free_slots_.clear();
   for (auto& [klass, a] : arrivals_) a.recent.clear();
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -163,10 +163,10 @@
   double longest_boot_s() const;
   double age_s(const JobRecord& job) const;
   double wait_budget_s(const JobRecord& job) const;
-  std::vector<sched::Spare> spares() const;
+  std::vector<sched::Headroom> headroom() const;
   void plan();
-  void empty_machines();
-  void evict(const sched::Decisions& decisions);
+  void consolidate();
+  void preempt(const sched::Decisions& decisions);
   void start(JobRecord& job, const std::vector<sched::Placement>& tasks);
 
   // At intervals: upkeep.cc.
@@ -218,7 +218,7 @@
   };
   std::map<std::string, Arrivals> arrivals_;
   std::map<std::string, std::vector<config::Objective>> aims_;  // by class
-  std::set<std::string> kept_;                                  // machines wanted as spares
+  std::set<std::string> headroom_machines_;                     // machines wanted as headroom
 };
 
 }  // namespace seampass::leader
--- a/src/leader/fleet.cc
+++ b/src/leader/fleet.cc
@@ -41,7 +41,7 @@
   machines_.clear();
   to_delete_.clear();
   deleted_.clear();
-  asked_.clear();
+  pending_scale_out_.clear();
   refused_until_.clear();
   cut_until_.clear();
   deletion_busy_ = false;
@@ -256,13 +256,13 @@
   const std::string request = "r" + std::to_string(epoch_) + "-" + std::to_string(++counter_);
   const wire::Rental rental{request, option.type, option.zone, option.spot,
                             std::min(count, kMaxRent)};
-  asked_[request] = {option.type, option.zone, option.spot, rental.count};
+  pending_scale_out_[request] = {option.type, option.zone, option.spot, rental.count};
   const std::uint64_t epoch = epoch_;
   spdlog::debug("renting {} {} in {} spot {}", rental.count, rental.type, rental.zone, rental.spot);
   cloud_.rent(rental, [this, epoch, request, rental](cloud::Rented result,
                                                      const std::vector<std::string>& names) {
     if (epoch != epoch_) return;
-    asked_.erase(request);
+    pending_scale_out_.erase(request);
     const Ms now = runtime_.now();
     for (const std::string& n : names) {
       if (deleted(n)) continue;
--- a/src/leader/fleet.h
+++ b/src/leader/fleet.h
@@ -99,12 +99,14 @@
   std::vector<sched::RentalOption> options() const;
   void rent(const sched::RentalOption& option, int count);
   // Rentals asked for and not yet answered.
-  struct Asked {
+  struct PendingScaleOut {
     std::string type, zone;
     bool spot = false;
     int count = 0;
   };
-  const std::map<std::string, Asked>& asked() const { return asked_; }
+  const std::map<std::string, PendingScaleOut>& pending_scale_out() const {
+    return pending_scale_out_;
+  }
 
  private:
   struct ZoneHealth {
@@ -140,7 +142,7 @@
   std::set<std::string> deleted_;
   std::set<std::string> to_delete_;
   bool deletion_busy_ = false;
-  std::map<std::string, Asked> asked_;
+  std::map<std::string, PendingScaleOut> pending_scale_out_;
   std::map<std::tuple<std::string, std::string, bool>, net::Ms> refused_until_;
   // Zones that look cut off: nothing is rented where it could not be heard.
   std::map<std::string, net::Ms> cut_until_;
--- a/src/leader/planning.cc
+++ b/src/leader/planning.cc
@@ -26,10 +26,10 @@
 constexpr double kEndsCounted = 0.5;
 // A task is moved only if it has this many times longer to run than its stop and start take; one in
 // so many machines is emptied in a plan.
-constexpr double kEmptiedWorth = 3;
-constexpr std::size_t kEmptiedShare = 50;
+constexpr double kConsolidationGain = 3;
+constexpr std::size_t kConsolidationShare = 50;
 // A spare is kept on no type that costs more than this many times the cheapest that would do.
-constexpr double kSpareDearest = 3;
+constexpr double kMaxHeadroomPrice = 3;
 
 }  // namespace
 
@@ -83,7 +83,7 @@
       touch(x.machine);
     }
   }
-  evict(d);
+  preempt(d);
   for (const sched::Batch& b : d.starts) start(*jobs[b.job], b.tasks);
   // Renting is paced: what is asked of the cloud takes far longer than the pause.
   if (now - last_rental_ >= net::ms(settings_.heartbeat_interval_s / 3)) {
@@ -135,11 +135,11 @@
 }
 
 // For each class with a start aim: as many tasks as are likely to come while a machine boots.
-std::vector<sched::Spare> Controller::spares() const {
-  std::vector<sched::Spare> list;
+std::vector<sched::Headroom> Controller::headroom() const {
+  std::vector<sched::Headroom> list;
   double spent = 0;
   for (const sched::MachineView& m : snapshot_.machines) spent += m.price;
-  for (const sched::MachineView& m : snapshot_.asked) spent += m.price;
+  for (const sched::MachineView& m : snapshot_.pending_scale_out) spent += m.price;
   const Ms now = runtime_.now();
   for (const auto& [klass, a] : arrivals_) {
     if (a.recent.empty()) continue;
@@ -174,9 +174,9 @@
     }
     const double expected = std::max(0.0, tasks * share - ends) + std::sqrt(squares * share);
     const auto count = static_cast<std::uint32_t>(std::ceil(expected));
-    sched::Spare s;
-    s.budget = operator_.spare_share * spent;
-    s.dearest = kSpareDearest * cheapest;
+    sched::Headroom s;
+    s.budget = operator_.headroom_share * spent;
+    s.max_price = kMaxHeadroomPrice * cheapest;
     s.job.kind = wire::JobKind::array;
     s.job.priority = wire::Priority::low;
     s.job.request = request_of(spec);
@@ -190,9 +190,9 @@
   return list;
 }
 
-void Controller::evict(const sched::Decisions& d) {
+void Controller::preempt(const sched::Decisions& d) {
   std::vector<TaskAttempt*> stops;
-  for (const sched::Eviction& e : d.evictions) {
+  for (const sched::Preemption& e : d.preemptions) {
     double termination_grace_s = 0;
     for (const sched::Victim& v : e.tasks) {
       TaskAttempt* c = find_attempt(v.job, v.task);
@@ -228,20 +228,20 @@
     }
   }
   const auto options = fleet_.options();
-  const sched::MachinePlan plan = sched::plan_machines(snapshot_, options, spares());
-  kept_.clear();
-  for (const std::size_t i : plan.keep) kept_.insert(snapshot_.machines[i].name);
-  for (const sched::RentalWish& w : plan.rentals) fleet_.rent(options[w.option], w.count);
+  const sched::ScalingPlan plan = sched::plan_scaling(snapshot_, options, headroom());
+  headroom_machines_.clear();
+  for (const std::size_t i : plan.keep) headroom_machines_.insert(snapshot_.machines[i].name);
+  for (const sched::ScaleOutRequest& w : plan.rentals) fleet_.rent(options[w.option], w.count);
   // (Where jobs wait now and then, the next would wait for the machine that was just returned.)
   if (std::any_of(snapshot_.jobs.begin(), snapshot_.jobs.end(),
                   [](const sched::JobView& j) { return !j.pending.empty(); }))
     waited_ = now;
-  if (now - waited_ > net::ms(longest_boot_s())) empty_machines();
+  if (now - waited_ > net::ms(longest_boot_s())) consolidate();
 }
 
 // When nothing waits, the few tasks of a machine are moved together with others, and it is
 // returned.
-void Controller::empty_machines() {
+void Controller::consolidate() {
   const Ms now = runtime_.now();
   for (sched::MachineView& m : snapshot_.machines) {
     for (sched::Victim& v : m.victims) {
@@ -250,12 +250,12 @@
       v.left_s = c->job->spec.estimate_s - static_cast<double>(now - c->running_since) / 1000;
     }
   }
-  const std::size_t most = 1 + fleet_.machines().size() / kEmptiedShare;
+  const std::size_t most = 1 + fleet_.machines().size() / kConsolidationShare;
   std::vector<TaskAttempt*> stops;
-  for (const std::size_t i :
-       sched::emptied(snapshot_, settings_.heartbeat_interval_s / 3, kEmptiedWorth, most)) {
+  for (const std::size_t i : sched::consolidation_candidates(
+           snapshot_, settings_.heartbeat_interval_s / 3, kConsolidationGain, most)) {
     Machine* m = fleet_.find(snapshot_.machines[i].name);
-    if (!m || kept_.contains(m->name)) continue;
+    if (!m || headroom_machines_.contains(m->name)) continue;
     m->draining = true;
     spdlog::debug("emptying {} of {} tasks", m->name, m->attempts.size());
     for (const auto& [key, c] : m->attempts) {
--- a/src/leader/upkeep.cc
+++ b/src/leader/upkeep.cc
@@ -58,7 +58,7 @@
   for (auto& [klass, a] : arrivals_)
     while (a.recent.size() > kMaxArrivals) a.recent.pop_front();
   std::set<std::string> kept = expire_reservations();
-  kept.insert(kept_.begin(), kept_.end());
+  kept.insert(headroom_machines_.begin(), headroom_machines_.end());
   drain_preempted();
   if (spdlog::should_log(spdlog::level::debug)) log_use();
   fleet_.tick(kept);
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -62,9 +62,9 @@
   }
 
  private:
-  // Lower is better. A machine with accelerators that the task does not use is dearest of all; then
-  // the price counts, before it a cached image where a quick start does; then the tightest fit, so
-  // that machines empty and can be returned.
+  // Lower is better. A machine with accelerators that the task does not use is max_price of all;
+  // then the price counts, before it a cached image where a quick start does; then the tightest
+  // fit, so that machines empty and can be returned.
   using Score = std::tuple<bool, bool, double, bool, double, double, std::size_t>;
   Score score(const JobView& job, std::size_t i) const {
     const MachineView& m = snapshot_.machines[i];
@@ -292,7 +292,7 @@
       m.nominated_job = job.id;
       placed[m.zone] += static_cast<std::uint32_t>(o.fits);
       lacks -= std::min(lacks, o.fits);
-      out_.evictions.push_back({o.machine, j, std::move(o.tasks)});
+      out_.preemptions.push_back({o.machine, j, std::move(o.tasks)});
     }
   }
 
--- a/src/sched/rentals.cc
+++ b/src/sched/rentals.cc
@@ -14,19 +14,19 @@
   Planner(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options)
       : snapshot_(snapshot), teams_(snapshot.teams), options_(options), counts_(options.size(), 0) {
     for (std::size_t i = 0; i < snapshot.machines.size(); ++i) add(snapshot.machines[i], i);
-    for (const MachineView& m : snapshot.asked) add(m, snapshot.machines.size());
+    for (const MachineView& m : snapshot.pending_scale_out) add(m, snapshot.machines.size());
   }
 
-  MachinePlan run(const std::vector<Spare>& spares) {
+  ScalingPlan run(const std::vector<Headroom>& headroom) {
     for (const std::size_t j : queue_order(snapshot_.jobs)) {
       const JobView& job = snapshot_.jobs[j];
       if (job.blocked || job.pending.empty()) continue;
       double budget = std::numeric_limits<double>::infinity();
       settle(job, false, budget, budget);
     }
-    for (const Spare& s : spares) {
+    for (const Headroom& s : headroom) {
       double budget = s.budget;
-      settle(s.job, true, budget, s.dearest);
+      settle(s.job, true, budget, s.max_price);
     }
     for (std::size_t i = 0; i < options_.size(); ++i)
       if (counts_[i] > 0) plan_.rentals.push_back({i, counts_[i]});
@@ -90,7 +90,7 @@
 
   // Finds a place for what the job still lacks: on room that is on its way, else on rented room.
   // A spare may also use what is open and free.
-  void settle(const JobView& job, bool spare, double& budget, double dearest) {
+  void settle(const JobView& job, bool spare, double& budget, double max_price) {
     TeamView unlimited;
     TeamView& team = spare ? unlimited : teams_[job.team];
     auto left = static_cast<std::uint32_t>(job.pending.size() - job.reservations.size());
@@ -150,7 +150,7 @@
       if (left == 0) break;
       Room& r = rooms_[i];
       const MachineView& m = *r.m;
-      if (m.price > dearest || !allowed(job, m.type, m.zone, m.spot)) continue;
+      if (m.price > max_price || !allowed(job, m.type, m.zone, m.spot)) continue;
       while (left > 0 && job.request.fits_in(r.free) && zone_ok(m.zone)) {
         if (spare && m.open && !plan_.keep.contains(r.index)) {
           const bool idle = r.free.cpus >= m.total.cpus && r.free.gpus >= m.total.gpus;
@@ -168,7 +168,7 @@
         const RentalOption& o = options_[i];
         const std::uint32_t fit = std::min(capacity(job.request, o.total), left);
         if (fit == 0 || !allowed(job, o.type, o.zone, o.spot) || !zone_ok(o.zone)) continue;
-        if (o.price > budget || o.price > dearest) continue;
+        if (o.price > budget || o.price > max_price) continue;
         const double cost = o.price / fit;
         if (cost < best_cost) {
           best = i;
@@ -200,22 +200,22 @@
   std::vector<std::size_t> releasing_, booting_;  // indices into rooms_
   std::deque<MachineView> rented_;
   std::map<std::string, std::vector<const MachineView*>> claimed_;
-  MachinePlan plan_;
+  ScalingPlan plan_;
 };
 
 }  // namespace
 
-MachinePlan plan_machines(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options,
-                          const std::vector<Spare>& spares) {
-  return Planner(snapshot, options).run(spares);
+ScalingPlan plan_scaling(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options,
+                         const std::vector<Headroom>& headroom) {
+  return Planner(snapshot, options).run(headroom);
 }
 
-std::vector<std::size_t> emptied(const ClusterSnapshot& snapshot, double restart_s, double worth,
-                                 std::size_t most) {
+std::vector<std::size_t> consolidation_candidates(const ClusterSnapshot& snapshot, double restart_s,
+                                                  double worth, std::size_t most) {
   std::vector<std::size_t> result;
   for (const JobView& j : snapshot.jobs)
     if (!j.blocked && !j.pending.empty()) return result;
-  // The emptiest first: fewest tasks, then the dearest.
+  // The emptiest first: fewest tasks, then the max_price.
   std::vector<std::size_t> order;
   for (std::size_t i = 0; i < snapshot.machines.size(); ++i) {
     const MachineView& m = snapshot.machines[i];
--- a/src/sched/snapshot.h
+++ b/src/sched/snapshot.h
@@ -125,7 +125,7 @@
 struct ClusterSnapshot {
   std::vector<MachineView> machines;
   std::vector<JobView> jobs;
-  std::vector<MachineView> asked;  // rentals not answered yet: nameless, booting
+  std::vector<MachineView> pending_scale_out;  // rentals not answered yet: nameless, booting
   std::map<std::string, TeamView> teams;
   MachineChoice choice = MachineChoice::scored;
 };
@@ -135,13 +135,13 @@
   std::vector<Placement> tasks;
 };
 
-struct Eviction {
+struct Preemption {
   std::size_t machine = 0, job = 0;  // for which job
   std::vector<Victim> tasks;
 };
 
 struct Decisions {
-  std::vector<Eviction> evictions;
+  std::vector<Preemption> preemptions;
   std::vector<Batch> starts;
   std::vector<Batch> reservations;  // each gang's whole new set; a gang not named holds nothing
   std::size_t looked_at = 0;        // machines compared with a job: the work that this pass was
@@ -164,33 +164,33 @@
   Resources total;
 };
 
-struct RentalWish {
+struct ScaleOutRequest {
   std::size_t option = 0;
   int count = 0;
 };
 
 // Room to keep free for tasks that are expected to come before a new machine could be up.
-struct Spare {
-  JobView job;         // `pending` says how many
-  double budget = 0;   // for machines that nothing else needs, an hour
-  double dearest = 0;  // no machine above this price
+struct Headroom {
+  JobView job;           // `pending` says how many
+  double budget = 0;     // for machines that nothing else needs, an hour
+  double max_price = 0;  // no machine above this price
 };
 
-struct MachinePlan {
-  std::vector<RentalWish> rentals;
+struct ScalingPlan {
+  std::vector<ScaleOutRequest> rentals;
   std::set<std::size_t> keep;  // machines whose free room is wanted as a spare
 };
 
 // Which machines to rent for what a pass left pending, after room that is booting is counted, and
 // which to rent or keep for what is expected.
-MachinePlan plan_machines(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options,
-                          const std::vector<Spare>& spares);
+ScalingPlan plan_scaling(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options,
+                         const std::vector<Headroom>& headroom);
 
 // Machines whose few tasks have room on fuller machines of their type, with their image: once
 // moved, the machine can be returned. Only where nothing waits, and what is left to run is worth
 // the stop: `worth` times what saving and starting again takes, `restart_s` beside the save. At
 // most `most`.
-std::vector<std::size_t> emptied(const ClusterSnapshot& snapshot, double restart_s, double worth,
-                                 std::size_t most);
+std::vector<std::size_t> consolidation_candidates(const ClusterSnapshot& snapshot, double restart_s,
+                                                  double worth, std::size_t most);
 
 }  // namespace seampass::sched
--- a/tests/sched_test.cc
+++ b/tests/sched_test.cc
@@ -206,7 +206,7 @@
                                              {"small", "a", false, 1, {4, 0, 16}}};
   ClusterSnapshot p;
   p.jobs.push_back(waiting("wk-1", wire::JobKind::array, 6, {4, 1, 8}));
-  auto wishes = plan_machines(p, options, {}).rentals;
+  auto wishes = plan_scaling(p, options, {}).rentals;
   ASSERT_EQ(wishes.size(), 1u);
   EXPECT_EQ(wishes[0].option, 1u);
   EXPECT_EQ(wishes[0].count, 2);
@@ -216,13 +216,13 @@
   m.booting = true;
   m.total = m.free = {16, 4, 64};
   p.machines.push_back(m);
-  wishes = plan_machines(p, options, {}).rentals;
+  wishes = plan_scaling(p, options, {}).rentals;
   ASSERT_EQ(wishes.size(), 1u);
   EXPECT_EQ(wishes[0].count, 1);
   p.jobs[0].spot = false;
-  EXPECT_EQ(plan_machines(p, options, {}).rentals[0].option, 0u);
+  EXPECT_EQ(plan_scaling(p, options, {}).rentals[0].option, 0u);
   p.teams["red"].gpus_max = 4;  // no more than the limit lets run
-  EXPECT_TRUE(plan_machines(p, options, {}).rentals.empty());
+  EXPECT_TRUE(plan_scaling(p, options, {}).rentals.empty());
 }
 
 TEST(Sched, RentsAGangsMachinesInOneZone) {
@@ -232,7 +232,7 @@
   p.jobs.push_back(waiting("wk-1", wire::JobKind::gang, 3, {4, 0, 8}));
   p.jobs[0].one_zone = true;
   p.jobs[0].spot = false;
-  const auto wishes = plan_machines(p, options, {}).rentals;
+  const auto wishes = plan_scaling(p, options, {}).rentals;
   ASSERT_EQ(wishes.size(), 1u);
   EXPECT_EQ(wishes[0].option, 0u);
   EXPECT_EQ(wishes[0].count, 3);
@@ -255,13 +255,13 @@
   job.urgent = true;
   p.jobs = {job};
   ClusterSnapshot same = p;
-  EXPECT_TRUE(pass(same).evictions.empty());  // equal priority stops nothing
+  EXPECT_TRUE(pass(same).preemptions.empty());  // equal priority stops nothing
   p.jobs[0].priority = wire::Priority::high;
   same = p;
   const Decisions d = pass(same);
-  ASSERT_EQ(d.evictions.size(), 1u);
-  EXPECT_EQ(d.evictions[0].machine, 1u);  // one task there, two on the other
-  EXPECT_EQ(d.evictions[0].tasks.size(), 1u);
+  ASSERT_EQ(d.preemptions.size(), 1u);
+  EXPECT_EQ(d.preemptions[0].machine, 1u);  // one task there, two on the other
+  EXPECT_EQ(d.preemptions[0].tasks.size(), 1u);
   // Once cleared, the room is for that job alone, and it clears no more.
   p.machines[1].nominated_job = "wk-1";
   p.machines[1].free = {8, 4, 64};
@@ -272,7 +272,7 @@
   const Decisions after = pass(p);
   ASSERT_EQ(after.starts.size(), 1u);
   EXPECT_EQ(after.starts[0].job, 1u);
-  EXPECT_TRUE(after.evictions.empty());
+  EXPECT_TRUE(after.preemptions.empty());
 }
 
 TEST(Sched, EmptiesMachinesOnlyWhereTheirTasksFitOnFullerOnes) {
@@ -292,23 +292,24 @@
     p.machines.push_back(m);
   }
   using Indices = std::vector<std::size_t>;
-  EXPECT_EQ(emptied(p, 1, 3, 9), Indices{0});  // the one task goes to the machine of three
+  EXPECT_EQ(consolidation_candidates(p, 1, 3, 9),
+            Indices{0});  // the one task goes to the machine of three
   ClusterSnapshot other = p;
   other.machines[0].victims[0].left_s = 11;  // hardly longer than its stop and start
-  EXPECT_EQ(emptied(other, 1, 3, 9), Indices{});
+  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
   other = p;
   other.machines[1].images.clear();  // the machine of two has the image, and room
-  EXPECT_EQ(emptied(other, 1, 3, 9), Indices{0});
+  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{0});
   other.machines[2].images.clear();
-  EXPECT_EQ(emptied(other, 1, 3, 9), Indices{});
+  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
   other = p;
   other.machines[1].spot = other.machines[2].spot = true;  // the task may not use those
-  EXPECT_EQ(emptied(other, 1, 3, 9), Indices{});
+  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
   other = p;
   other.machines[0].tasks = 2;  // one more on it that can't be moved
-  EXPECT_EQ(emptied(other, 1, 3, 9), Indices{});
+  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
   p.jobs.push_back(waiting("wk-1", wire::JobKind::array, 1, {9, 1, 8}));  // somebody waits
-  EXPECT_EQ(emptied(p, 1, 3, 9), Indices{});
+  EXPECT_EQ(consolidation_candidates(p, 1, 3, 9), Indices{});
 }
 
 TEST(Sched, TeamsAreServedInTurnByShares) {
@@ -329,7 +330,7 @@
   EXPECT_EQ(queue_order(jobs), (std::vector<std::size_t>{0, 1, 2, 3, 4, 5}));
 }
 
-TEST(Sched, KeepsSparesWithinTheirBudget) {
+TEST(Sched, KeepsHeadroomWithinItsBudget) {
   const std::vector<RentalOption> options = {{"small", "a", false, 1, {4, 0, 16}}};
   ClusterSnapshot p;
   MachineView m;
@@ -339,16 +340,16 @@
   m.price = 1;
   m.total = m.free = {4, 0, 16};
   p.machines = {m, m};
-  Spare spare{waiting("", wire::JobKind::array, 4, {4, 0, 8}), 3, 2};
-  MachinePlan plan = plan_machines(p, options, {spare});
+  Headroom spare{waiting("", wire::JobKind::array, 4, {4, 0, 8}), 3, 2};
+  ScalingPlan plan = plan_scaling(p, options, {spare});
   EXPECT_EQ(plan.keep.size(), 2u);  // two are there, and the budget pays for one more
   ASSERT_EQ(plan.rentals.size(), 1u);
   EXPECT_EQ(plan.rentals[0].count, 1);
-  spare.dearest = 0.5;
-  EXPECT_TRUE(plan_machines(p, options, {spare}).keep.empty());
-  spare.dearest = 2;
+  spare.max_price = 0.5;
+  EXPECT_TRUE(plan_scaling(p, options, {spare}).keep.empty());
+  spare.max_price = 2;
   spare.budget = 1;
-  plan = plan_machines(p, options, {spare});
+  plan = plan_scaling(p, options, {spare});
   EXPECT_EQ(plan.keep.size(), 1u);
   EXPECT_TRUE(plan.rentals.empty());
 }
