--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -33,7 +33,7 @@
   spdlog::set_default_logger(std::move(logger));
 }
 
-int serve(const config::Settings& settings, const config::Operator& op) {
+int serve(const config::Settings& settings, const config::OperatorSettings& operator_settings) {
   std::signal(SIGPIPE, SIG_IGN);
   net::Loop loop;
   // Sockets: a sixteenth for idle connections that this node dialled, another for commands on their
@@ -42,7 +42,7 @@
   const auto sockets = static_cast<std::size_t>(settings.fd_limit);
   net::HttpClient http(loop, sockets / 16);
   rpc::PeerLink peers(loop, settings.node, settings.peers);
-  app::Node node(loop, http, peers, settings, op);
+  app::Node node(loop, http, peers, settings, operator_settings);
   net::ServerLimits limits;
   limits.max_connections = sockets - sockets / 8 - sockets / 32;
   limits.lasting_path = "/checkin";
@@ -81,10 +81,10 @@
     return cli.exit(e) == 0 ? 0 : kBadSettings;
   }
   config::Settings settings;
-  config::Operator op;
+  config::OperatorSettings operator_settings;
   try {
     settings = config::load_settings(config_file);
-    if (!operator_file.empty()) op = config::load_operator(operator_file);
+    if (!operator_file.empty()) operator_settings = config::load_operator(operator_file);
   } catch (const config::BadSettings& e) {
     std::cerr << "seampass: " << e.what() << "\n";
     return kBadSettings;
@@ -94,5 +94,5 @@
     return 0;
   }
   set_up_logging();
-  return serve(settings, op);
+  return serve(settings, operator_settings);
 }
--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -28,15 +28,15 @@
 }  // namespace
 
 Node::Node(net::Runtime& runtime, net::HttpCaller& http, rpc::PeerTransport& peers,
-           config::Settings settings, config::Operator op)
+           config::Settings settings, config::OperatorSettings operator_settings)
     : settings_(std::move(settings)),
-      operator_(std::move(op)),
+      operator_settings_(std::move(operator_settings)),
       state_(runtime, http, settings_.state, settings_.least_state_limits().rps * kStoreRequests,
              settings_.least_state_limits().write_rps * kStoreChanges,
              ms(settings_.heartbeat_interval_s / 3)),
       cloud_(runtime, http, settings_.cloud, settings_.cloud_rps * 0.7,
              ms(std::max(settings_.heartbeat_interval_s, 8 / settings_.cloud_rps))),
-      types_(runtime, cloud_, ms(settings_.lease_s * 2), ms(settings_.heartbeat_interval_s / 2)),
+      catalog_(runtime, cloud_, ms(settings_.lease_s * 2), ms(settings_.heartbeat_interval_s / 2)),
       // A few hundred bytes a final status: an eighth of the memory at most.
       status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
       election_(
@@ -45,11 +45,11 @@
           [this, &peers](std::uint64_t round) { announce(peers, round); }),
       cluster_(runtime, state_, settings_.peers, spans_of(settings_),
                ms(settings_.heartbeat_interval_s / 10)),
-      controller_(runtime, state_, cloud_, types_,
+      controller_(runtime, state_, cloud_, catalog_,
                   workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
                                   static_cast<std::size_t>(settings_.fd_limit) / 16),
-                  election_, status_reader_, cluster_, settings_, operator_),
-      api_(runtime, state_, types_, election_, controller_, status_reader_, cluster_, peers,
+                  election_, status_reader_, cluster_, settings_, operator_settings_),
+      api_(runtime, state_, catalog_, election_, controller_, status_reader_, cluster_, peers,
            settings_) {}
 
 void Node::announce(rpc::PeerTransport& peers, std::uint64_t round) {
@@ -63,7 +63,7 @@
 }
 
 void Node::start() {
-  types_.start();
+  catalog_.start();
   election_.start();
 }
 
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -18,7 +18,7 @@
 class Node {
  public:
   Node(net::Runtime& runtime, net::HttpCaller& http, rpc::PeerTransport& peers,
-       config::Settings settings, config::Operator op);
+       config::Settings settings, config::OperatorSettings operator_settings);
 
   void start();
   void handle(const net::Request& request, net::Answer answer) {
@@ -31,10 +31,10 @@
   void announce(rpc::PeerTransport& peers, std::uint64_t round);
 
   config::Settings settings_;
-  config::Operator operator_;
+  config::OperatorSettings operator_settings_;
   state::Client state_;
   cloud::Client cloud_;
-  cloud::MachineCatalog types_;
+  cloud::MachineCatalog catalog_;
   jobs::JobStatusReader status_reader_;
   leader::Election election_;
   leader::ClusterVersion cluster_;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -142,8 +142,8 @@
     s.teams.push_back({t.text("name"), t.number("cpus", 0), t.number("cpus_max", 0),
                        t.number("gpus", 0), t.number("gpus_max", 0)});
   for (const Reader& o : facts.tables("objectives")) {
-    Objective objective{o.text("kind"), "", 0, 1};
-    if (o.has("class")) objective.klass = o.text("class");
+    ServiceLevelObjective objective{o.text("kind"), "", 0, 1};
+    if (o.has("class")) objective.job_class = o.text("class");
     if (o.has("within_s")) objective.within_s = o.number("within_s", 0);
     if (o.has("times")) objective.times = o.number("times", 0);
     s.objectives.push_back(objective);
@@ -170,14 +170,14 @@
   return s;
 }
 
-Operator load_operator(const std::string& path) {
+OperatorSettings load_operator(const std::string& path) {
   YAML::Node root;
   try {
     root = YAML::LoadFile(path);
   } catch (const YAML::Exception& e) {
     throw BadSettings(path + ": " + e.what());
   }
-  Operator o;
+  OperatorSettings o;
   if (root.IsNull()) return o;
   if (!root.IsMap()) throw BadSettings(path + ": must be a map of settings");
   for (const auto& entry : root) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -23,8 +23,8 @@
   double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0 in a maximum: no limit
 };
 
-struct Objective {
-  std::string kind, klass;
+struct ServiceLevelObjective {
+  std::string kind, job_class;
   double within_s = 0;
   double times = 1;  // of a deadline
 };
@@ -43,7 +43,7 @@
   std::vector<std::string> zones;
   double skew_ms = 0;
   std::vector<Team> teams;
-  std::vector<Objective> objectives;
+  std::vector<ServiceLevelObjective> objectives;
   double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
   StateLimits state_limits;
   // Those that will hold from some moment on, without notice; as `state_limits` if none are named.
@@ -59,7 +59,7 @@
 };
 
 // Each default is a ratio to the platform's figures; deploy/operator.example.yaml documents them.
-struct Operator {
+struct OperatorSettings {
   double hold_timeout_s = 20;  // how long a gang may hold room short of its minimum (design: 20)
   double idle_return = 0.25;   // an idle machine is returned after this many of its boot times
   // What machines kept free for classes with a start aim may cost, as a share of all that is
@@ -69,6 +69,6 @@
 };
 
 Settings load_settings(const std::string& path);
-Operator load_operator(const std::string& path);
+OperatorSettings load_operator(const std::string& path);
 
 }  // namespace seampass::config
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -27,13 +27,13 @@
 }  // namespace
 
 ApiHandler::ApiHandler(net::Runtime& runtime, state::Client& state,
-                       const cloud::MachineCatalog& types, leader::Election& election,
+                       const cloud::MachineCatalog& catalog, leader::Election& election,
                        leader::Controller& controller, JobStatusReader& status_reader,
                        leader::ClusterVersion& cluster, rpc::PeerTransport& peers,
                        const config::Settings& settings)
     : runtime_(runtime),
       state_(state),
-      types_(types),
+      catalog_(catalog),
       election_(election),
       controller_(controller),
       status_reader_(status_reader),
@@ -65,7 +65,7 @@
   }
   if (path == "/up") {
     if (!want("GET")) return;
-    return answer(types_.known() ? Response{200, "{}"} : later("starting"));
+    return answer(catalog_.known() ? Response{200, "{}"} : later("starting"));
   }
   if (path == kJobs) {
     if (want("POST")) submit(request, answer);
--- a/src/jobs/api_handler.h
+++ b/src/jobs/api_handler.h
@@ -20,7 +20,7 @@
 
 class ApiHandler {
  public:
-  ApiHandler(net::Runtime& runtime, state::Client& state, const cloud::MachineCatalog& types,
+  ApiHandler(net::Runtime& runtime, state::Client& state, const cloud::MachineCatalog& catalog,
              leader::Election& election, leader::Controller& controller,
              JobStatusReader& status_reader, leader::ClusterVersion& cluster,
              rpc::PeerTransport& peers, const config::Settings& settings);
@@ -59,7 +59,7 @@
 
   net::Runtime& runtime_;
   state::Client& state_;
-  const cloud::MachineCatalog& types_;
+  const cloud::MachineCatalog& catalog_;
   leader::Election& election_;
   leader::Controller& controller_;
   JobStatusReader& status_reader_;
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -31,7 +31,7 @@
   if (std::find(job.dependencies.begin(), job.dependencies.end(), job.id) != job.dependencies.end())
     return "it depends on itself";
   std::set<std::string> zones;  // where a task fits an allowed type
-  for (const auto& [name, t] : types_.types())
+  for (const auto& [name, t] : catalog_.types())
     for (const std::string& zone : t.zones)
       if (sched::fits_empty(t, job) && (!job.zone || *job.zone == zone)) zones.insert(zone);
   if (zones.empty()) return "a task fits no allowed machine type";
@@ -64,7 +64,7 @@
   const std::string id = job.id;
   if (const auto v = status_reader_.final_status(id))
     return answer({200, wire::accepted_json(*v), 0});
-  if (!types_.known()) return answer(later("machine types not known yet"));
+  if (!catalog_.known()) return answer(later("machine types not known yet"));
   const wire::Json record = leader::Controller::open_record(job, runtime_.wall());
   std::string why = impossible(job);
   if (why.empty() && !storable(record)) why = "too large to be stored";
--- a/src/leader/cluster_view.cc
+++ b/src/leader/cluster_view.cc
@@ -46,7 +46,7 @@
   const Ms now = runtime_.now();
   const Ms fresh = net::ms(settings_.lease_s) / 3;
   for (auto& [name, m] : fleet_.machines()) {
-    const wire::MachineType* type = types_.find(m.type);
+    const wire::MachineType* type = catalog_.find(m.type);
     if (!type) continue;
     if (m.slot == Machine::kNoSlot) {
       if (free_slots_.empty()) {
@@ -77,7 +77,7 @@
   }
   snapshot_.pending_scale_out.clear();
   for (const auto& [request, asked] : fleet_.pending_scale_out()) {
-    const wire::MachineType* type = types_.find(asked.type);
+    const wire::MachineType* type = catalog_.find(asked.type);
     if (!type) continue;
     sched::MachineView v;
     v.type = asked.type;
@@ -201,9 +201,9 @@
     v.spot = job->spec.spot;
     v.image = job->spec.image;
     v.wait_budget_s = wait_budget_s(*job);
-    v.urgent = arrivals_.contains(job->spec.klass);
-    v.guaranteed = guaranteed.contains(job.get());
-    v.fair_share_rank = v.guaranteed ? 0 : 1;
+    v.urgent = arrivals_.contains(job->spec.job_class);
+    v.within_guarantee = guaranteed.contains(job.get());
+    v.fair_share_rank = v.within_guarantee ? 0 : 1;
     v.tasks = job->spec.tasks;
     for (const auto& [task, c] : job->attempts) ++v.placed[c.machine->zone];
     v.blocked = now < job->retry_at;
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -12,26 +12,27 @@
 using wire::Json;
 
 Controller::Controller(net::Runtime& runtime, state::Client& state, cloud::Client& cloud,
-                       const cloud::MachineCatalog& types, workers::Client workers,
+                       const cloud::MachineCatalog& catalog, workers::Client workers,
                        Election& election, jobs::JobStatusReader& status_reader,
                        ClusterVersion& cluster, const config::Settings& settings,
-                       const config::Operator& op)
+                       const config::OperatorSettings& operator_settings)
     : runtime_(runtime),
       state_(state),
-      types_(types),
+      catalog_(catalog),
       workers_(std::move(workers)),
       election_(election),
       status_reader_(status_reader),
       cluster_(cluster),
       settings_(settings),
-      operator_(op),
+      operator_settings_(operator_settings),
       records_(
           runtime, state, settings.least_state_limits(),
           {[this](const std::string& id, const RecordId& record) { return render(id, record); },
            [this] { election_.lost(audit::Deposed::fenced); },
            [this](const std::string& id, wire::Stage stage) { on_ended(id, stage); },
            [this] { cluster_.finalize(); }}),
-      fleet_(runtime, cloud, types, settings, op, [this](Machine& m) { forget_machine(m); }),
+      fleet_(runtime, cloud, catalog, settings, operator_settings,
+             [this](Machine& m) { forget_machine(m); }),
       layout_(cluster.spans()),
       dependencies_(runtime, status_reader, net::ms(settings.heartbeat_interval_s / 10),
                     {[this](const std::string& id, const std::string& dependency) {
@@ -42,10 +43,10 @@
                        accepted(id, open.value, open.version);
                      }}),
       attempts_(runtime) {
-  for (const config::Objective& o : settings.objectives) {
-    aims_[o.klass].push_back(o);
-    if (o.kind != "wait" || o.klass.empty()) continue;
-    Arrivals& a = arrivals_[o.klass];
+  for (const config::ServiceLevelObjective& o : settings.objectives) {
+    objectives_by_class_[o.job_class].push_back(o);
+    if (o.kind != "wait" || o.job_class.empty()) continue;
+    Arrivals& a = arrivals_[o.job_class];
     a.within_s = a.within_s > 0 ? std::min(a.within_s, o.within_s) : o.within_s;
   }
 }
@@ -77,7 +78,7 @@
   headroom_machines_.clear();
   snapshot_ = {};
   free_slots_.clear();
-  for (auto& [klass, a] : arrivals_) a.recent.clear();
+  for (auto& [job_class, a] : arrivals_) a.recent.clear();
   collected_.clear();
   collected_job_.clear();
   cluster_.stop();
@@ -122,7 +123,7 @@
   job->open_version = version;
   job->claimed.assign(job->spec.tasks, false);
   job->finished.assign(job->spec.tasks, false);
-  spdlog::debug("queued {} of {}, {} tasks, team {}", id, job->spec.klass, job->spec.tasks,
+  spdlog::debug("queued {} of {}, {} tasks, team {}", id, job->spec.job_class, job->spec.tasks,
                 job->spec.team);
   job->ready_ms = job->created_ms;
   const JobRecord& added = *jobs_.emplace(id, std::move(job)).first->second;
@@ -135,7 +136,7 @@
 
 // Jobs recovered together came at their own times.
 void Controller::note_arrival(const JobRecord& job) {
-  const auto aim = arrivals_.find(job.spec.klass);
+  const auto aim = arrivals_.find(job.spec.job_class);
   if (aim == arrivals_.end()) return;
   const Ms age = std::max<Ms>(0, runtime_.wall() - job.ready_ms);
   aim->second.latest = job.spec;
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -45,9 +45,9 @@
 class Controller {
  public:
   Controller(net::Runtime& runtime, state::Client& state, cloud::Client& cloud,
-             const cloud::MachineCatalog& types, workers::Client workers, Election& election,
+             const cloud::MachineCatalog& catalog, workers::Client workers, Election& election,
              jobs::JobStatusReader& status_reader, ClusterVersion& cluster,
-             const config::Settings& settings, const config::Operator& op);
+             const config::Settings& settings, const config::OperatorSettings& operator_settings);
 
   void begin();
   void stop();
@@ -180,13 +180,13 @@
 
   net::Runtime& runtime_;
   state::Client& state_;
-  const cloud::MachineCatalog& types_;
+  const cloud::MachineCatalog& catalog_;
   workers::Client workers_;
   Election& election_;
   jobs::JobStatusReader& status_reader_;
   ClusterVersion& cluster_;
   const config::Settings& settings_;
-  const config::Operator& operator_;
+  const config::OperatorSettings& operator_settings_;
   RecordStore records_;
   Fleet fleet_;
   RecordLayout layout_;
@@ -217,8 +217,9 @@
     std::deque<std::pair<net::Ms, std::uint32_t>> recent;  // when, how many tasks
   };
   std::map<std::string, Arrivals> arrivals_;
-  std::map<std::string, std::vector<config::Objective>> aims_;  // by class
-  std::set<std::string> headroom_machines_;                     // machines wanted as headroom
+  std::map<std::string, std::vector<config::ServiceLevelObjective>>
+      objectives_by_class_;                  // by class
+  std::set<std::string> headroom_machines_;  // machines wanted as headroom
 };
 
 }  // namespace seampass::leader
--- a/src/leader/fleet.cc
+++ b/src/leader/fleet.cc
@@ -19,14 +19,14 @@
 constexpr double kOverdueReports = 1.6;
 }  // namespace
 
-Fleet::Fleet(net::Runtime& runtime, cloud::Client& cloud, const cloud::MachineCatalog& types,
-             const config::Settings& settings, const config::Operator& op,
+Fleet::Fleet(net::Runtime& runtime, cloud::Client& cloud, const cloud::MachineCatalog& catalog,
+             const config::Settings& settings, const config::OperatorSettings& operator_settings,
              std::function<void(Machine&)> gone)
     : runtime_(runtime),
       cloud_(cloud),
-      types_(types),
+      catalog_(catalog),
       settings_(settings),
-      operator_(op),
+      operator_settings_(operator_settings),
       gone_(std::move(gone)) {}
 
 void Fleet::begin(std::uint64_t epoch) {
@@ -148,7 +148,7 @@
 }
 
 double Fleet::boot_s(const Machine& machine) const {
-  const wire::MachineType* type = types_.find(machine.type);
+  const wire::MachineType* type = catalog_.find(machine.type);
   return type ? type->boot_s : settings_.lease_s;
 }
 
@@ -209,7 +209,7 @@
     return false;
   }
   return machine.draining || machine.preemption_at ||
-         now - machine.idle_since > net::ms(operator_.idle_return * boot_s(machine));
+         now - machine.idle_since > net::ms(operator_settings_.idle_return * boot_s(machine));
 }
 
 void Fleet::tick(const std::set<std::string>& kept) {
@@ -237,7 +237,7 @@
 std::vector<sched::RentalOption> Fleet::options() const {
   std::vector<sched::RentalOption> list;
   const Ms now = runtime_.now();
-  for (const auto& [name, t] : types_.types())
+  for (const auto& [name, t] : catalog_.types())
     for (const std::string& zone : t.zones) {
       const auto cut = cut_until_.find(zone);
       if (cut != cut_until_.end() && now < cut->second) continue;
--- a/src/leader/fleet.h
+++ b/src/leader/fleet.h
@@ -75,8 +75,8 @@
 class Fleet {
  public:
   // gone: the machine, and all that is on it, surely no longer exists.
-  Fleet(net::Runtime& runtime, cloud::Client& cloud, const cloud::MachineCatalog& types,
-        const config::Settings& settings, const config::Operator& op,
+  Fleet(net::Runtime& runtime, cloud::Client& cloud, const cloud::MachineCatalog& catalog,
+        const config::Settings& settings, const config::OperatorSettings& operator_settings,
         std::function<void(Machine&)> gone);
 
   void begin(std::uint64_t epoch);
@@ -132,9 +132,9 @@
 
   net::Runtime& runtime_;
   cloud::Client& cloud_;
-  const cloud::MachineCatalog& types_;
+  const cloud::MachineCatalog& catalog_;
   const config::Settings& settings_;
-  const config::Operator& operator_;
+  const config::OperatorSettings& operator_settings_;
   std::function<void(Machine&)> gone_;
   std::uint64_t epoch_ = 0, counter_ = 0;
   net::Ms began_ = 0;
--- a/src/leader/planning.cc
+++ b/src/leader/planning.cc
@@ -47,15 +47,16 @@
 
 double Controller::longest_boot_s() const {
   double longest = 0;
-  for (const auto& [name, t] : types_.types()) longest = std::max(longest, t.boot_s);
+  for (const auto& [name, t] : catalog_.types()) longest = std::max(longest, t.boot_s);
   return longest;
 }
 
 void Controller::run_pass(Ms lateness) {
-  if (!ready() || !types_.known()) return;
+  if (!ready() || !catalog_.known()) return;
   const Ms began = runtime_.now();
-  snapshot_.choice = operator_.machine_choice == "first-fit" ? sched::MachineChoice::first_fit
-                                                             : sched::MachineChoice::scored;
+  snapshot_.choice = operator_settings_.machine_choice == "first-fit"
+                         ? sched::MachineChoice::first_fit
+                         : sched::MachineChoice::scored;
   update_machines();
   update_teams();
   const std::vector<JobRecord*> jobs = update_jobs();
@@ -112,17 +113,17 @@
   const wire::Job& spec = job.spec;
   double boot = 0;
   double fetch = 0;
-  for (const auto& [name, t] : types_.types()) {
+  for (const auto& [name, t] : catalog_.types()) {
     if (!sched::fits_empty(t, spec)) continue;
     boot = std::max(boot, t.boot_s);
     if (t.fetch_gb_per_s > 0) fetch = std::max(fetch, spec.image_gb / t.fetch_gb_per_s);
   }
   const double age = age_s(job);
   double best = boot / 2;
-  const auto aims = aims_.find(spec.klass);
-  if (aims == aims_.end()) return best;
+  const auto aims = objectives_by_class_.find(spec.job_class);
+  if (aims == objectives_by_class_.end()) return best;
   double first = std::numeric_limits<double>::infinity();
-  for (const config::Objective& o : aims->second) {
+  for (const config::ServiceLevelObjective& o : aims->second) {
     double slack = -1;
     if (o.kind == "wait") slack = o.within_s - age;
     // Estimates err by half and more.
@@ -141,12 +142,12 @@
   for (const sched::MachineView& m : snapshot_.machines) spent += m.price;
   for (const sched::MachineView& m : snapshot_.pending_scale_out) spent += m.price;
   const Ms now = runtime_.now();
-  for (const auto& [klass, a] : arrivals_) {
+  for (const auto& [job_class, a] : arrivals_) {
     if (a.recent.empty()) continue;
     const wire::Job& spec = a.latest;
     double boot = 0;
     double cheapest = std::numeric_limits<double>::infinity();
-    for (const auto& [name, t] : types_.types()) {
+    for (const auto& [name, t] : catalog_.types()) {
       if (!sched::fits_empty(t, spec)) continue;
       boot = std::max(boot, t.boot_s);
       cheapest = std::min(cheapest, spec.spot ? t.spot_price : t.price);
@@ -167,7 +168,7 @@
     // is counted on.
     double ends = 0;
     for (const auto& [id, job] : jobs_) {
-      if (job->spec.klass != klass) continue;
+      if (job->spec.job_class != job_class) continue;
       for (const auto& [task, c] : job->attempts)
         if (c.running_since != 0 && now - c.running_since > net::ms(job->spec.estimate_s - boot))
           ends += kEndsCounted;
@@ -175,7 +176,7 @@
     const double expected = std::max(0.0, tasks * share - ends) + std::sqrt(squares * share);
     const auto count = static_cast<std::uint32_t>(std::ceil(expected));
     sched::Headroom s;
-    s.budget = operator_.headroom_share * spent;
+    s.budget = operator_settings_.headroom_share * spent;
     s.max_price = kMaxHeadroomPrice * cheapest;
     s.job.kind = wire::JobKind::array;
     s.job.priority = wire::Priority::low;
--- a/src/leader/upkeep.cc
+++ b/src/leader/upkeep.cc
@@ -55,7 +55,7 @@
   if (!ready()) return;
   if (is_isolated() && election_.resign()) return;
   release_expired();
-  for (auto& [klass, a] : arrivals_)
+  for (auto& [job_class, a] : arrivals_)
     while (a.recent.size() > kMaxArrivals) a.recent.pop_front();
   std::set<std::string> kept = expire_reservations();
   kept.insert(headroom_machines_.begin(), headroom_machines_.end());
@@ -86,7 +86,7 @@
   std::set<std::string> held;
   for (auto& [id, job] : jobs_) {
     if (!job->reservations.empty() && !job->all_or_nothing &&
-        now - job->reservations_since > net::ms(operator_.hold_timeout_s)) {
+        now - job->reservations_since > net::ms(operator_settings_.hold_timeout_s)) {
       job->reservations.clear();
       job->all_or_nothing = true;
       request_pass();
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -71,7 +71,7 @@
     if (snapshot_.choice == MachineChoice::first_fit) return {false, false, 0, false, 0, 0, i};
     const bool wasted = job.request.gpus == 0 && m.total.gpus > 0;
     const bool cached = m.images.contains(job.image);
-    const bool hurry = job.urgent || job.guaranteed;
+    const bool hurry = job.urgent || job.within_guarantee;
     return {wasted, hurry && !cached, m.price, !cached, m.free.gpus, m.free.cpus, i};
   }
 
--- a/src/sched/snapshot.h
+++ b/src/sched/snapshot.h
@@ -93,7 +93,7 @@
   std::string image;
   bool urgent = false;  // its class has a short start aim: a cached image counts before the price
   // It fits into its team's guarantee together with the team's earlier unfinished jobs.
-  bool guaranteed = false;
+  bool within_guarantee = false;
   // For how many seconds its start may wait for room that is in use, rather than new machines.
   double wait_budget_s = 0;
   std::uint32_t tasks = 0;
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -182,7 +182,7 @@
   Job j;
   j.id = text_field(o, "ref");
   if (!valid_job_id(j.id)) throw Malformed("ref: bad form");
-  j.klass = short_text(o, "cuvee_class");
+  j.job_class = short_text(o, "cuvee_class");
   j.team = short_text(o, "owner_crew");
   j.kind = value_of(kKinds, text_field(o, "shape"), "shape");
   j.priority = value_of(kPriorities, text_field(o, "rank"), "rank");
@@ -215,7 +215,7 @@
 
 Json to_json(const Job& j) {
   Json o{{"ref", j.id},
-         {"cuvee_class", j.klass},
+         {"cuvee_class", j.job_class},
          {"owner_crew", j.team},
          {"shape", name_of(kKinds, j.kind)},
          {"rank", name_of(kPriorities, j.priority)},
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -18,7 +18,7 @@
 
 struct Job {
   std::string id;
-  std::string klass;
+  std::string job_class;
   std::string team;
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -416,7 +416,7 @@
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
   w.time.run_for(2000);
   auto urgent = gang_job("wk-2", 1, 5);
-  urgent.klass = "urgent";
+  urgent.job_class = "urgent";
   urgent.priority = wire::Priority::high;
   w.submit("n1", urgent);
   w.time.run_for(9000);
@@ -477,7 +477,7 @@
         auto job = random() % 3 == 0 ? gang_job(id, 1 + random() % 3, 8)
                                      : array_job(id, 1 + random() % 6, 8);
         if (job.kind == wire::JobKind::gang && random() % 2 == 0) {
-          job.klass = "urgent";  // has room cleared for it
+          job.job_class = "urgent";  // has room cleared for it
           job.priority = wire::Priority::high;
         }
         job.checkpoint_s = 2;
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -130,7 +130,7 @@
 
 TEST(Config, OperatorSettings) {
   std::string file = file_with("hold_timeout_s: 12\nmachine_choice: first-fit\n");
-  const Operator o = load_operator(file);
+  const OperatorSettings o = load_operator(file);
   EXPECT_EQ(o.hold_timeout_s, 12);
   EXPECT_EQ(o.machine_choice, "first-fit");
   std::remove(file.c_str());
@@ -141,10 +141,10 @@
     std::remove(file.c_str());
   }
   // The example names every setting at its default.
-  const Operator example =
+  const OperatorSettings example =
       load_operator(std::string(SEAMPASS_SOURCE_DIR) + "/deploy/operator.example.yaml");
-  EXPECT_EQ(example.hold_timeout_s, Operator().hold_timeout_s);
-  EXPECT_EQ(example.idle_return, Operator().idle_return);
+  EXPECT_EQ(example.hold_timeout_s, OperatorSettings().hold_timeout_s);
+  EXPECT_EQ(example.idle_return, OperatorSettings().idle_return);
 }
 
 }  // namespace
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -31,7 +31,7 @@
 wire::Job plain_job() {
   wire::Job job;
   job.id = "wk-8802";
-  job.klass = "batch";
+  job.job_class = "batch";
   job.team = "green";
   job.priority = wire::Priority::low;
   job.cpus = 1;
@@ -44,7 +44,7 @@
 wire::Job full_job() {
   wire::Job job;
   job.id = "wk-8801";
-  job.klass = "render";
+  job.job_class = "render";
   job.team = "green";
   job.kind = wire::JobKind::service;
   job.priority = wire::Priority::critical;
@@ -93,7 +93,7 @@
   const wire::Job job = stored_job(kFullOpenRecord);
 
   EXPECT_EQ(job.id, "wk-8801");
-  EXPECT_EQ(job.klass, "render");
+  EXPECT_EQ(job.job_class, "render");
   EXPECT_EQ(job.team, "green");
   EXPECT_EQ(job.kind, wire::JobKind::service);
   EXPECT_EQ(job.priority, wire::Priority::critical);
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -248,7 +248,7 @@
             pick(3) == 0 ? gang_job(id, 1 + pick(3), 9) : array_job(id, 1 + pick(6), 4 + pick(20));
         if (pick(4) == 0) job.zone = pick(2) == 0 ? "a" : "b";
         if (job.kind == wire::JobKind::gang && pick(2) == 0) {
-          job.klass = "urgent";
+          job.job_class = "urgent";
           job.priority = wire::Priority::high;
         }
         job.team = pick(3) == 0 ? "red" : "blue";
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -278,7 +278,7 @@
     SimCaller http;
     SimPeers peers;
     config::Settings settings;
-    config::Operator op;
+    config::OperatorSettings op;
     app::Node node;
   };
 
@@ -293,7 +293,7 @@
 inline wire::Job array_job(const std::string& id, std::uint32_t tasks, double run_s = 5) {
   wire::Job j;
   j.id = id;
-  j.klass = "k";
+  j.job_class = "k";
   j.team = "blue";
   j.tasks = tasks;
   j.cpus = 4;
