--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "standins/sim.h"
+#include "fakes/sim.h"
 
 namespace seampass::leader {
 namespace {
@@ -29,8 +29,8 @@
     return record;
   }
 
-  standins::SimTime time;
-  standins::Process process;
+  fakes::SimTime time;
+  fakes::Process process;
   AttemptTracker tracker;
 };
 
--- a/tests/audit_log_test.cc
+++ b/tests/audit_log_test.cc
@@ -5,9 +5,9 @@
 
 #include <sstream>
 
-#include "standins/world.h"
+#include "fakes/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 // Takes all that is logged, at the level of `debug`, for as long as it lives.
@@ -45,7 +45,7 @@
 }
 
 TEST(AuditLog, OneJobCanBeFollowed) {
-  World w;
+  SimulatedCluster w;
   const LogCapture log;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 1, 10));
@@ -74,12 +74,12 @@
 
 // Why a controller led no more, and how long it had gone without a renewal.
 TEST(AuditLog, AnEndOfLeadershipHasItsReason) {
-  World w;
+  SimulatedCluster w;
   const LogCapture log;
   ASSERT_TRUE(w.settle());
   const std::string old = w.leader();
   w.net.set_rule([&](const std::string& from, const net::Call& call) {
-    Fate fate;
+    Delivery fate;
     if (from == old && call.endpoint == "state:1") fate.status = 503;
     return fate;
   });
@@ -89,7 +89,7 @@
 }
 
 TEST(AuditLog, TheLoadIsSaidOnceInALease) {
-  World w;
+  SimulatedCluster w;
   const LogCapture log;
   ASSERT_TRUE(w.settle());
   w.time.run_for(45000);
@@ -101,4 +101,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -1,15 +1,15 @@
-// The whole service in simulated time, against our own stand-ins, with a judge of the rules.
+// The whole service in simulated time, against our own stand-ins, with a checker of the rules.
 #include <gtest/gtest.h>
 
-#include "standins/world.h"
+#include "fakes/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 bool is(const net::Call& c, const char* path) { return c.path == path; }
 
 TEST(Cluster, RunsJobsAndAnswersOnEveryNode) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   EXPECT_EQ(w.submit("n0", array_job("wk-1", 5)).status, 201);
   EXPECT_EQ(w.submit("n1", gang_job("wk-2", 2)).status, 201);
@@ -23,7 +23,7 @@
     EXPECT_EQ(w.submit(n, array_job("wk-1", 5)).stage(), "done") << n;
     EXPECT_EQ(w.cancel(n, "wk-1").stage(), "done") << n;
   }
-  for (const auto& [task, n] : w.judge.starts) EXPECT_EQ(n, 1) << task.job;
+  for (const auto& [task, n] : w.checker.starts) EXPECT_EQ(n, 1) << task.job;
   w.time.run_for(20000);
   EXPECT_EQ(w.state.count("open/"), 0u);
   EXPECT_EQ(w.state.count("work/"), 0u);
@@ -32,7 +32,7 @@
 }
 
 TEST(Cluster, RefusesWhatCanNeverRunAndWhatItCannotTake) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   auto job = array_job("wk-1", 1);
   job.team = "nobody";
@@ -68,13 +68,13 @@
 }
 
 TEST(Cluster, CancelledWorkIsGoneAndStaysCancelled) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 500));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
   EXPECT_EQ(w.cancel(w.follower(), "wk-1").stage(), "withdrawn");
   w.time.run_for(10000);
-  EXPECT_TRUE(w.judge.on.empty());
+  EXPECT_TRUE(w.checker.on.empty());
   EXPECT_EQ(w.submit("n2", array_job("wk-1", 6)).stage(), "withdrawn");
   EXPECT_EQ(w.cancel("n0", "wk-1").stage(), "withdrawn");
   EXPECT_EQ(w.cancel("n0", "wk-99").status, 404);
@@ -82,7 +82,7 @@
 }
 
 TEST(Cluster, NextLeaderGoesOnWithWhatRuns) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 30));
   w.submit("n0", gang_job("wk-2", 1, 30));
@@ -94,7 +94,7 @@
   EXPECT_NE(w.leader(), first);
   EXPECT_TRUE(w.reaches("wk-1", "done", 90000));
   EXPECT_TRUE(w.reaches("wk-2", "done", 90000));
-  for (const auto& [task, n] : w.judge.starts) EXPECT_EQ(n, 1) << task.job << "/" << task.index;
+  for (const auto& [task, n] : w.checker.starts) EXPECT_EQ(n, 1) << task.job << "/" << task.index;
   w.start(first);
   w.time.run_for(3000);
   EXPECT_EQ(w.poll(first, "wk-1").stage(), "done");
@@ -102,7 +102,7 @@
 }
 
 TEST(Cluster, RestartsInTheMiddleOfAnElection) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 8, 20));
   for (int round = 0; round < 12; ++round) {
@@ -120,7 +120,7 @@
 }
 
 TEST(Cluster, AllControllersEndAtOnce) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 40));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -128,12 +128,12 @@
   w.time.run_for(6000);
   for (const char* n : {"n0", "n1", "n2"}) w.start(n);
   EXPECT_TRUE(w.reaches("wk-1", "done", 120000));
-  for (const auto& [task, n] : w.judge.starts) EXPECT_EQ(n, 1) << task.index;
+  for (const auto& [task, n] : w.checker.starts) EXPECT_EQ(n, 1) << task.index;
   w.expect_rules();
 }
 
 TEST(Cluster, OutageShorterThanTheGraceLosesNoWork) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 60));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -142,14 +142,14 @@
   EXPECT_EQ(w.poll(w.follower(), "wk-1").status, 503);
   w.state.come_back();
   EXPECT_TRUE(w.reaches("wk-1", "done", 120000));
-  for (const auto& [task, n] : w.judge.starts) EXPECT_EQ(n, 1) << task.index;
+  for (const auto& [task, n] : w.checker.starts) EXPECT_EQ(n, 1) << task.index;
   w.expect_rules();
 }
 
 // What names no leader is no leader, and ends no process; once it is gone somebody leads.
 TEST(Cluster, AnUnreadableLeaderRecordEndsNoProcess) {
   for (const char* value : {R"({"node":5})", R"({})", R"("n0")", "null"}) {
-    World w;
+    SimulatedCluster w;
     w.put("leader", wire::Json::parse(value));
     w.time.run_for(20000);
     EXPECT_EQ(w.leaders(), 0) << value;
@@ -161,11 +161,11 @@
 // A leader with more to do than it can, or a slow store: the answers to its renewals take longer
 // than other requests wait, and the lease still does not run out.
 TEST(Cluster, SlowRenewalsLoseNoLease) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   const std::string leader = w.leader();
   w.net.set_rule([](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (c.path.ends_with("/extend")) f.slow = 1400;
     return f;
   });
@@ -177,7 +177,7 @@
 }
 
 TEST(Cluster, LongOutageOfTheStoreLosesNoWorkWhileAllControllersVouch) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 100));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -185,14 +185,14 @@
   w.time.run_for(70000);  // far beyond lease_s and cancel_s
   w.state.come_back();
   EXPECT_TRUE(w.reaches("wk-1", "done", 120000));
-  for (const auto& [task, n] : w.judge.starts) EXPECT_EQ(n, 1) << task.index;
+  for (const auto& [task, n] : w.checker.starts) EXPECT_EQ(n, 1) << task.index;
   w.expect_rules();
 }
 
 // A controller that started after the leader's last renewal may have led and forgotten it: its word
 // does not count, and leases run out as they would without it.
 TEST(Cluster, WordOfARestartedControllerDoesNotCount) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 100));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -203,21 +203,21 @@
   w.time.run_for(1000);
   w.start(other);
   w.time.run_for(60000);
-  EXPECT_TRUE(w.judge.on.empty());
+  EXPECT_TRUE(w.checker.on.empty());
   w.state.come_back();
   EXPECT_TRUE(w.reaches("wk-1", "done", 300000));
   w.expect_rules();
 }
 
 TEST(Cluster, CutOffLeaderIsReplacedAndItsWorkIsNotRunTwice) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 8, 60));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
   const std::string old = w.leader();
   // It reaches neither the state service nor its peers, but still hears its workers.
   w.net.set_rule([old](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (from == old && c.endpoint == "state:1") f.late = 60000;
     return f;
   });
@@ -242,13 +242,13 @@
 
 // The state service refuses one node alone, for longer than its grace: the leader.
 TEST(Cluster, LeaderThatTheStoreRefusesMakesWayAtOnce) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 4, 60));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
   const std::string old = w.leader();
   w.net.set_rule([old](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (from == old && c.endpoint == "state:1") f.status = 503;
     return f;
   });
@@ -261,17 +261,17 @@
   EXPECT_TRUE(w.reaches("wk-2", "done", 20000));
   EXPECT_EQ(w.poll(old, "wk-2").stage(), "done");
   EXPECT_TRUE(w.reaches("wk-1", "done", 90000));
-  for (const auto& [task, n] : w.judge.starts) EXPECT_EQ(n, 1) << task.job;
+  for (const auto& [task, n] : w.checker.starts) EXPECT_EQ(n, 1) << task.job;
   w.expect_rules();
 }
 
 TEST(Cluster, LateAndRepeatedStartsDoNotRunTwice) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   int n = 0;
   // A third of direct commands come long after they were given up; a third lose their answer.
   w.net.set_rule([&n](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (is(c, "/commands")) {
       ++n;
       if (n % 3 == 0) f.late = 1500 + 2500 * (n % 5);
@@ -292,11 +292,11 @@
 }
 
 TEST(Cluster, LostAnswersOfTheStateServiceAreNotGuessed) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   int n = 0;
   w.net.set_rule([&n](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (is(c, "/txn")) {
       ++n;
       if (n % 4 == 0) f.lose_answer = true;
@@ -318,7 +318,7 @@
 }
 
 TEST(Cluster, DeadMachinesWorkRunsElsewhere) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 30));
   w.submit("n0", gang_job("wk-2", 2, 30));
@@ -330,7 +330,7 @@
 }
 
 TEST(Cluster, FailedStartsAreTriedElsewhere) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   for (auto& [name, m] : w.cloud.machines)
     m->fail_next(name == "m-000001" ? wire::ExitCause::error : wire::ExitCause::no_room);
@@ -342,7 +342,7 @@
 }
 
 TEST(Cluster, GangWaitsWholeUnderItsTeamsLimit) {
-  World w(1, 8);
+  SimulatedCluster w(1, 8);
   ASSERT_TRUE(w.settle());
   auto small = array_job("wk-1", 6, 20);
   small.team = "red";  // 8 GPUs at most
@@ -352,18 +352,18 @@
   gang.team = "red";
   w.submit("n0", gang);
   w.time.run_for(8000);
-  for (std::uint32_t i = 0; i < 4; ++i) EXPECT_EQ(w.judge.starts.count({"wk-2", i}), 0u);
+  for (std::uint32_t i = 0; i < 4; ++i) EXPECT_EQ(w.checker.starts.count({"wk-2", i}), 0u);
   EXPECT_TRUE(w.reaches("wk-2", "done", 120000));
   w.expect_rules();
 }
 
 TEST(Cluster, LargeArraysStayWithinTheStoresLimits) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   auto job = array_job("wk-1", 100000, 2);
   EXPECT_EQ(w.submit("n0", job).status, 201);
   w.time.run_for(120000);
-  EXPECT_GT(w.judge.done.size(), 100u);
+  EXPECT_GT(w.checker.done.size(), 100u);
   EXPECT_LE(w.state.largest_value(), 8u * 1024);
   w.kill(w.leader());
   w.time.run_for(30000);
@@ -376,12 +376,12 @@
 }
 
 TEST(Cluster, WatchThatFellBehindIsListedAgain) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   // The leader hears of nothing: neither peers' messages nor its watch, whose log is cut.
   w.net.set_peer_rule([](const std::string&, const std::string&) { return false; });
   w.net.set_rule([](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     f.refuse = c.path.starts_with("/watch?under=open/");
     return f;
   });
@@ -394,7 +394,7 @@
 }
 
 TEST(Cluster, IdleMachinesAreReturned) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 2));
   EXPECT_TRUE(w.reaches("wk-1", "done", 60000));
@@ -406,7 +406,7 @@
 }
 
 TEST(Cluster, UrgentGangHasRoomClearedForIt) {
-  World w(1, 2);
+  SimulatedCluster w(1, 2);
   w.cloud.capacity = 2;
   ASSERT_TRUE(w.settle());
   auto bulk = array_job("wk-1", 4, 40);
@@ -420,7 +420,7 @@
   urgent.priority = wire::Priority::high;
   w.submit("n1", urgent);
   w.time.run_for(9000);
-  EXPECT_EQ(w.judge.starts.count({"wk-2", 0}), 1u);
+  EXPECT_EQ(w.checker.starts.count({"wk-2", 0}), 1u);
   EXPECT_TRUE(w.reaches("wk-2", "done", 30000));
   EXPECT_TRUE(w.reaches("wk-1", "done", 200000));
   w.expect_rules();
@@ -431,13 +431,13 @@
 
 TEST_P(Troubles, BreakNoRule) {
   const unsigned seed = GetParam();
-  World w(seed, 5);
+  SimulatedCluster w(seed, 5);
   std::mt19937 random(seed * 7919 + 1);
   ASSERT_TRUE(w.settle());
   unsigned severity = 0;
   std::string deaf;  // a machine that is heard and hears nothing
   w.net.set_rule([&](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     const bool user = from == "user";
     if (from == deaf && c.path == "/checkin") f.lose_answer = true;
     if (c.endpoint == deaf + ":9000") f.never = true;
@@ -527,7 +527,7 @@
     // A cancellation whose answer did not come is asked for again, as users do.
     for (int i = 0; i < 100 && asked.count(id) != 0; ++i)
       if (w.cancel("n" + std::to_string(i % 3), id).status == 200) break;
-    const bool cancelled = w.judge.jobs[id].cancelled;
+    const bool cancelled = w.checker.jobs[id].cancelled;
     EXPECT_TRUE(w.reaches(id, cancelled ? "withdrawn" : "done", 400000))
         << id << "\n"
         << w.state.dump("work/" + id) << w.state.dump("open/" + id);
@@ -538,4 +538,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, Troubles, ::testing::Range(1u, 13u));
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/copies_test.cc
+++ b/tests/copies_test.cc
@@ -4,14 +4,14 @@
 
 #include <thread>
 
+#include "fakes/world.h"
 #include "net/loop.h"
-#include "standins/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 // A job whose one task keeps the only machine up.
-void keep_busy(World& w) {
+void keep_busy(SimulatedCluster& w) {
   w.cloud.capacity = 1;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-900", 1, 400));
@@ -19,7 +19,7 @@
 }
 
 // Cancels wk-1, waits until all of it must be gone, and sends the commands again.
-void cancel_and_repeat(World& w, const std::vector<net::Call>& commands) {
+void cancel_and_repeat(SimulatedCluster& w, const std::vector<net::Call>& commands) {
   EXPECT_EQ(w.cancel("n0", "wk-1").stage(), "withdrawn");
   w.time.run_for(45000);  // longer than cancel_s
   const int before = w.starts();
@@ -32,7 +32,7 @@
 
 // Copies of the commands that started a job, after it was cancelled and all of it was gone.
 TEST(Copies, OfStartsDoNotRunACancelledJob) {
-  World w(1, 1);
+  SimulatedCluster w(1, 1);
   ASSERT_NO_FATAL_FAILURE(keep_busy(w));
   auto& commands = w.record("/commands");
   w.submit("n0", array_job("wk-1", 1, 100));
@@ -42,18 +42,18 @@
 
 // A task that was done before its job was cancelled is not started again either.
 TEST(Copies, OfStartsDoNotRunWhatWasDoneOfACancelledJob) {
-  World w(1, 1);
+  SimulatedCluster w(1, 1);
   ASSERT_NO_FATAL_FAILURE(keep_busy(w));
   auto& commands = w.record("/commands");
   w.submit("n0", array_job("wk-1", 8, 3));  // one at a time beside the other job
   w.time.run_for(9000);
-  ASSERT_GT(w.judge.done.size(), 0u);
+  ASSERT_GT(w.checker.done.size(), 0u);
   cancel_and_repeat(w, commands);
 }
 
 // An attempt failed, and the task runs elsewhere.
 TEST(Copies, OfStartsDoNotRunATaskTwice) {
-  World w(1, 2);
+  SimulatedCluster w(1, 2);
   w.cloud.capacity = 3;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-900", 3, 400));
@@ -72,7 +72,7 @@
 // The next attempt of a task never waits behind one that can't be forgotten, and a job that fails
 // does not shut its machines for good.
 TEST(Copies, LeftoversAreInNobodysWay) {
-  World w(1, 2);
+  SimulatedCluster w(1, 2);
   w.cloud.capacity = 2;
   ASSERT_TRUE(w.settle());
   w.cloud.machines.at("m-000001")->fail_next(wire::ExitCause::error);
@@ -83,7 +83,7 @@
 
 // Answers to a node's former self carry numbers that its next self might use.
 TEST(Copies, OfAnswersToAFormerSelfAreNotTaken) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 300));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -105,7 +105,7 @@
 
 // News of an acceptance reach the next leader, which never knew of the job's end.
 TEST(Copies, OfNewsDoNotBringAnEndedJobBack) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 1, 2));
   ASSERT_TRUE(w.reaches("wk-1", "done", 30000));
@@ -123,7 +123,7 @@
 // A word given to this leader in an earlier term, by a round of the same number, vouches for
 // nothing.
 TEST(Copies, OfWordsOfAnEarlierTermVouchForNothing) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 200));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -136,7 +136,7 @@
         w.deliver(n, leader, rpc::EpochConfirmation{round, 0, 1'000'000});
     w.time.run_for(1000);
   }
-  EXPECT_TRUE(w.judge.on.empty());  // the leases have run out
+  EXPECT_TRUE(w.checker.on.empty());  // the leases have run out
   w.net.set_peer_rule({});
   w.state.come_back();
   EXPECT_TRUE(w.reaches("wk-1", "done", 400000));
@@ -148,7 +148,7 @@
 // machine can be returned.
 TEST(Copies, AMachineBackAtOnceIsNotGivenUpWhileItRuns) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
-    World w(seed, 2);
+    SimulatedCluster w(seed, 2);
     w.cloud.capacity = 2;
     ASSERT_TRUE(w.settle());
     w.submit("n0", array_job("wk-900", 1, 900));
@@ -158,14 +158,14 @@
     w.submit("n0", last);
     ASSERT_TRUE(w.reaches("wk-902", "running", 30000));
     w.time.run_for(244000 + 500 * seed);  // its count is far ahead of what comes after
-    const std::string half = w.judge.on[(TaskKey{"wk-902", 0})];
-    ASSERT_NE(w.judge.on[(TaskKey{"wk-900", 0})], half);
-    ASSERT_NE(w.judge.on[(TaskKey{"wk-901", 0})], half);
+    const std::string half = w.checker.on[(TaskKey{"wk-902", 0})];
+    ASSERT_NE(w.checker.on[(TaskKey{"wk-900", 0})], half);
+    ASSERT_NE(w.checker.on[(TaskKey{"wk-901", 0})], half);
     w.cloud.down = true;
     w.cloud.restart(half);
     w.submit("n0", array_job("wk-1", 1, 300));
     w.time.run_for(1000);
-    ASSERT_EQ(w.judge.on[(TaskKey{"wk-1", 0})], half);
+    ASSERT_EQ(w.checker.on[(TaskKey{"wk-1", 0})], half);
     w.time.run_for(50000);  // the other machine has room again before the lease is over
     w.cloud.down = false;
     EXPECT_TRUE(w.reaches("wk-1", "done", 900000));
@@ -181,7 +181,7 @@
 
 // Two machines: one in zone b, full for so long, then with room for one task; and one in zone a
 // with room for one task now, whose name is returned.
-std::string one_in_each_zone(World& w, double full_s) {
+std::string one_in_each_zone(SimulatedCluster& w, double full_s) {
   w.cloud.capacity = 2;
   EXPECT_TRUE(w.settle());
   w.submit("n0", pinned("wk-900", 1, full_s, "b"));
@@ -189,7 +189,7 @@
   w.submit("n0", pinned("wk-902", 1, 400, "a"));
   for (const char* id : {"wk-900", "wk-901", "wk-902"})
     EXPECT_TRUE(w.reaches(id, "running", 30000));
-  return w.judge.on[(TaskKey{"wk-902", 0})];
+  return w.checker.on[(TaskKey{"wk-902", 0})];
 }
 
 // A report of a machine is held up; the machine ends, is back at once with a lower count, and is
@@ -197,11 +197,11 @@
 // since; it lacks the task, and proves nothing: the task runs.
 TEST(Copies, AReportHeldUpSinceBeforeARestartEndsNoTask) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
-    World w(seed, 2);
+    SimulatedCluster w(seed, 2);
     const std::string host = one_in_each_zone(w, 12);
     net::Call held;
     w.net.set_rule([&held, host](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       if (from != host || c.path != "/checkin") return f;
       held = c;
       f.status = 503;
@@ -212,7 +212,7 @@
     w.cloud.restart(host);
     w.submit("n0", array_job("wk-1", 1, 200));
     ASSERT_TRUE(w.reaches("wk-1", "running", 10000));
-    ASSERT_EQ(w.judge.on[(TaskKey{"wk-1", 0})], host);
+    ASSERT_EQ(w.checker.on[(TaskKey{"wk-1", 0})], host);
     auto next = pinned("wk-903", 1, 400, "a");  // waits for that task's room
     next.priority = wire::Priority::high;
     w.submit("n0", next);
@@ -220,7 +220,7 @@
     w.repeat({held});
     w.time.run_for(20000);
     w.expect_rules();
-    EXPECT_EQ(w.judge.starts[(TaskKey{"wk-1", 0})], 1);
+    EXPECT_EQ(w.checker.starts[(TaskKey{"wk-1", 0})], 1);
   }
 }
 
@@ -229,11 +229,11 @@
 // it started elsewhere.
 TEST(Copies, AStartWithoutAnAnswerMayRunForALease) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
-    World w(seed, 2);
+    SimulatedCluster w(seed, 2);
     const std::string host = one_in_each_zone(w, 14);
     bool cut = false;
     w.net.set_rule([&cut, host](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       f.lose_answer = c.endpoint == host + ":9000";
       f.refuse = cut && from == host;
       return f;
@@ -254,7 +254,7 @@
 }
 
 // How many ended attempts the machine reports.
-int ended_on(World& w, const std::string& machine) {
+int ended_on(SimulatedCluster& w, const std::string& machine) {
   int ended = -1;
   const auto alive = std::make_shared<bool>(true);
   w.net.call("user", alive, {machine + ":9000", "GET", "/inspect", "", 1000},
@@ -270,42 +270,42 @@
 // However many tasks of a job one machine has had: copies of their starts do nothing once the job
 // is cancelled, and the machine is not given up for that.
 TEST(Copies, OfManyStartsOnOneMachineDoNothing) {
-  World w(1, 1);
+  SimulatedCluster w(1, 1);
   ASSERT_NO_FATAL_FAILURE(keep_busy(w));
   auto& commands = w.record("/commands");
   w.submit("n0", array_job("wk-1", 100, 1));  // one at a time beside the other job
-  for (int i = 0; i < 400 && w.judge.done.size() < 50; ++i) w.time.run_for(1000);
-  ASSERT_GE(w.judge.done.size(), 50u);
+  for (int i = 0; i < 400 && w.checker.done.size() < 50; ++i) w.time.run_for(1000);
+  ASSERT_GE(w.checker.done.size(), 50u);
   auto urgent = array_job("wk-2", 1, 400);  // meanwhile nothing changes about the first
   urgent.priority = wire::Priority::high;
   w.submit("n0", urgent);
   ASSERT_TRUE(w.reaches("wk-2", "running", 30000));
   w.time.run_for(15000);
-  ASSERT_LT(w.judge.done.size(), 100u);
-  const int ended = ended_on(w, w.judge.on[(TaskKey{"wk-900", 0})]);
+  ASSERT_LT(w.checker.done.size(), 100u);
+  const int ended = ended_on(w, w.checker.on[(TaskKey{"wk-900", 0})]);
   EXPECT_GE(ended, 1);
   EXPECT_LE(ended, 12);  // its reports stay short
   cancel_and_repeat(w, commands);
-  EXPECT_EQ(w.judge.starts[(TaskKey{"wk-900", 0})], 1);
+  EXPECT_EQ(w.checker.starts[(TaskKey{"wk-900", 0})], 1);
 }
 
 // No worker reaches the leader, though the state service and its peers do.
 TEST(Copies, ALeaderThatNoWorkerReachesMakesWay) {
-  World w(1, 6);
+  SimulatedCluster w(1, 6);
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 10, 60));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
   w.time.run_for(4000);
   const std::string old = w.leader();
   w.net.set_rule([old](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     f.never = c.endpoint == old + ":8080" || (from == old && c.endpoint.starts_with("m-"));
     return f;
   });
   w.time.run_for(40000);  // twice a worker's lease
   EXPECT_NE(w.leader(), old);
   EXPECT_TRUE(w.reaches("wk-1", "done", 60000));
-  for (const auto& [task, n] : w.judge.starts) EXPECT_EQ(n, 1) << task.index;
+  for (const auto& [task, n] : w.checker.starts) EXPECT_EQ(n, 1) << task.index;
   w.expect_rules();
 }
 
@@ -313,13 +313,13 @@
 // reach.
 TEST(Copies, ANodeThatNoWorkerReachesStandsSecond) {
   for (unsigned seed = 1; seed <= 8; ++seed) {
-    World w(seed, 6);
+    SimulatedCluster w(seed, 6);
     ASSERT_TRUE(w.settle());
     w.submit("n0", array_job("wk-1", 10, 100));
     ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
     const std::string old = w.leader(), deaf = w.follower();
     w.net.set_rule([old, deaf](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       f.refuse =
           from.starts_with("m-") && (c.endpoint == old + ":8080" || c.endpoint == deaf + ":8080");
       return f;
@@ -346,4 +346,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/dependencies_test.cc
+++ b/tests/dependencies_test.cc
@@ -1,9 +1,9 @@
 // Jobs that wait for others, in a whole deployment in simulated time.
 #include <gtest/gtest.h>
 
-#include "standins/world.h"
+#include "fakes/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 wire::Job after(wire::Job job, std::vector<std::string> dependencies) {
@@ -12,7 +12,7 @@
 }
 
 // Through n0: each depends on the one before it.
-void submit_chain(World& w, const std::vector<wire::Job>& jobs) {
+void submit_chain(SimulatedCluster& w, const std::vector<wire::Job>& jobs) {
   std::vector<std::string> before;
   for (const wire::Job& job : jobs) {
     w.submit("n0", after(job, before));
@@ -41,7 +41,7 @@
 }
 
 TEST(Dependencies, BadOnesAreRefused) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   for (const char* node : {"n0", "n1", "n2"}) {
     EXPECT_EQ(w.ask(node, "POST", "/api/jobs", body_with("wk-1")).status, 400);
@@ -56,7 +56,7 @@
 }
 
 TEST(Dependencies, UndecidableNowIsToldAtOnce) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   ASSERT_EQ(w.submit("n0", array_job("wk-1", 1, 60)).status, 201);
   w.state.down = true;
@@ -69,7 +69,7 @@
 
 // A diamond, submitted at once through all nodes: each starts when those before it are done.
 TEST(Dependencies, RunInTheirOrder) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   ASSERT_EQ(w.submit("n0", array_job("wk-1", 3, 8)).status, 201);
   ASSERT_EQ(w.submit("n1", after(array_job("wk-2", 2, 5), {"wk-1"})).status, 201);
@@ -86,7 +86,7 @@
 
 // A successor follows by the event, not at the next tick: well within a report interval.
 TEST(Dependencies, SuccessorStartsAtOnce) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   submit_chain(w, {array_job("wk-1", 1, 10), array_job("wk-2", 1, 10)});
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -99,7 +99,7 @@
 
 // What waits holds nothing: a team at its limit by waiting jobs alone would never start anything.
 TEST(Dependencies, WaitingJobsHoldNothing) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 1, 40));
   for (int i = 10; i < 20; ++i)
@@ -112,7 +112,7 @@
 }
 
 TEST(Dependencies, AreCancelledWithWhatTheyNeed) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   submit_chain(w, {array_job("wk-1", 2, 300), array_job("wk-2", 2, 5)});
   w.submit("n1", after(array_job("wk-3", 2, 5), {"wk-2"}));
@@ -133,10 +133,10 @@
 // `done` won the race with the cancellation: what follows goes on.
 TEST(Dependencies, GoOnIfTheCancellationCameTooLate) {
   for (const Ms delay : {0, 20, 100, 400}) {
-    World w;
+    SimulatedCluster w;
     ASSERT_TRUE(w.settle());
     submit_chain(w, {array_job("wk-1", 1, 5), array_job("wk-2", 1, 5)});
-    while (w.judge.done.count({"wk-1", 0}) == 0) w.time.run_for(5);
+    while (w.checker.done.count({"wk-1", 0}) == 0) w.time.run_for(5);
     w.time.run_for(delay);
     const auto told = w.cancel_until_told("n1", "wk-1", 30000);
     EXPECT_TRUE(w.reaches("wk-2", told.stage(), 60000)) << told.stage();
@@ -148,7 +148,7 @@
 // and the leader ends: no node that answers says anything but withdrawn.
 TEST(Dependencies, CancelledThroughAnOutageAndAChangeOfLeader) {
   for (const bool leader_ends : {false, true}) {
-    World w;
+    SimulatedCluster w;
     ASSERT_TRUE(w.settle());
     std::vector<wire::Job> chain{array_job("wk-1", 2, 300)};
     for (int i = 2; i <= 12; ++i) chain.push_back(array_job("wk-" + std::to_string(i), 1, 5));
@@ -177,14 +177,14 @@
 
 // No leader can be had, the store can: the nodes walk the chain there.
 TEST(Dependencies, NodesWithoutALeaderDeriveTheEnd) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   submit_chain(w, {array_job("wk-1", 2, 300), array_job("wk-2", 1, 5), array_job("wk-3", 1, 5)});
   const std::string leader = w.leader(), follower = w.follower();
   EXPECT_EQ(w.poll(follower, "wk-3").stage(), "queued");
   // The leader writes nothing more but the first end, and hears nobody.
   w.net.set_rule([leader](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     const bool first = c.body.find("ends/wk-1") != std::string::npos;
     if (from == leader && c.path == "/txn" && !first) f.status = 503;
     return f;
@@ -199,13 +199,13 @@
 // The end of the first is in the store, its answer is lost: while the leader does not know, it must
 // not call the second queued, since another node has read it as withdrawn.
 TEST(Dependencies, NothingIsSaidFromMemoryWhileAnEndUpstreamIsInDoubt) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   submit_chain(w, {array_job("wk-1", 1, 300), array_job("wk-2", 1, 5)});
   const std::string leader = w.leader(), follower = w.follower();
   bool cut = false;
   w.net.set_rule([&](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (from != leader || c.endpoint != "state:1") return f;
     if (c.body.find("\"write\":\"ends/wk-1\"") != std::string::npos) {
       f.lose_answer = true;
@@ -230,7 +230,7 @@
 
 // The next leader knows of the ends that the former one wrote, and starts nothing on a guess.
 TEST(Dependencies, SurviveChangesOfLeader) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   for (int chain = 0; chain < 4; ++chain) {
     std::vector<wire::Job> jobs;
@@ -253,7 +253,7 @@
 
 // News of an acceptance that comes after the job's end does not bring it back.
 TEST(Dependencies, LateNewsOfACancelledJobIsOld) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 1, 3));
   const auto second = after(array_job("wk-2", 1, 300), {"wk-1"});
@@ -274,18 +274,18 @@
 // `done` of a job is in the leader's memory, and not in the store: nothing that depends on it may
 // start, since the next leader may run it on.
 TEST(Dependencies, WaitForTheDurableEnd) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   submit_chain(w, {array_job("wk-1", 1, 6), array_job("wk-2", 1, 6)});
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
   w.net.set_rule([](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (c.body.find("\"write\":\"ends/") != std::string::npos) f.status = 503;
     return f;
   });
   w.time.run_for(20000);
   EXPECT_EQ(w.left("wk-1"), 0);
-  EXPECT_EQ(w.judge.starts.count({"wk-2", 0}), 0u);
+  EXPECT_EQ(w.checker.starts.count({"wk-2", 0}), 0u);
   w.net.set_rule({});
   EXPECT_TRUE(w.reaches("wk-2", "done", 60000));
   w.expect_rules();
@@ -293,7 +293,7 @@
 
 // A job whose own priority is low goes before others for the sake of one that needs it.
 TEST(Dependencies, HaveThePriorityOfWhatNeedsThem) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   // Each takes all of the team's limit.
   const auto job = [](const char* id, wire::Priority priority) {
@@ -308,8 +308,8 @@
   w.submit("n0", job("wk-2", wire::Priority::normal));
   w.submit("n0", job("wk-3", wire::Priority::low));
   w.submit("n0", after(job("wk-4", wire::Priority::high), {"wk-3"}));
-  while (w.judge.starts.count({"wk-3", 0}) == 0 && w.time.now() < 300000) w.time.run_for(100);
-  EXPECT_EQ(w.judge.starts.count({"wk-2", 0}), 0u);
+  while (w.checker.starts.count({"wk-3", 0}) == 0 && w.time.now() < 300000) w.time.run_for(100);
+  EXPECT_EQ(w.checker.starts.count({"wk-2", 0}), 0u);
   EXPECT_TRUE(w.reaches("wk-4", "done", 200000));
   EXPECT_TRUE(w.reaches("wk-2", "done", 200000));
   w.expect_rules();
@@ -329,14 +329,14 @@
 // no final status: that is neither `done`, by which the second would start, nor an end.
 TEST(Dependencies, AnUnreadableEndPermitsNothing) {
   for (const std::string& body : unreadable_ends()) {
-    World w;
+    SimulatedCluster w;
     ASSERT_TRUE(w.settle());
     w.submit("n0", array_job("wk-1", 1, 300));
     w.submit("n0", after(array_job("wk-2", 1, 300), {"wk-1"}));
     ASSERT_TRUE(w.reaches("wk-1", "running", 60000));
     const std::string leader = w.leader();
     w.net.set_rule([&](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       if (from != leader) return f;
       f.lose_answer = c.body.find("\"write\":\"ends/wk-1\"") != std::string::npos;
       if (c.path == "/keys/ends/wk-1" && w.state.has("ends/wk-1")) f.body = body;
@@ -353,7 +353,7 @@
         EXPECT_TRUE(told.status == 503 || told.stage() == "withdrawn") << id << " " << told.body;
       }
     }
-    EXPECT_EQ(w.judge.starts.count({"wk-2", 0}), 0u) << body;
+    EXPECT_EQ(w.checker.starts.count({"wk-2", 0}), 0u) << body;
     w.net.set_rule({});
     EXPECT_TRUE(w.reaches("wk-1", "withdrawn", 30000));
     EXPECT_TRUE(w.reaches("wk-2", "withdrawn", 30000));
@@ -365,7 +365,7 @@
 // depends on it.
 TEST(Dependencies, AnUnreadableEndIsNoAnswer) {
   for (const std::string& body : unreadable_ends()) {
-    World w;
+    SimulatedCluster w;
     ASSERT_TRUE(w.settle());
     w.submit("n0", array_job("wk-1", 1, 3));
     ASSERT_TRUE(w.reaches("wk-1", "done", 60000));
@@ -381,7 +381,7 @@
     w.start(old);
     w.time.run_for(5000);
     w.net.set_rule([&](const std::string&, const net::Call& c) {
-      Fate f;
+      Delivery f;
       if (c.path == "/keys/ends/wk-1") f.body = body;
       return f;
     });
@@ -395,4 +395,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/standins/production_peer.capnp
+++ b/tests/fakes/production_peer.capnp
@@ -2,7 +2,7 @@
 # The schema of the version in production, as it was: what it reads of the messages of this one.
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("seampass::standins::production");
+$Cxx.namespace("seampass::fakes::production");
 
 struct Envelope {
   union {
--- a/tests/standins/sim.h
+++ b/tests/fakes/sim.h
@@ -13,7 +13,7 @@
 #include "net/runtime.h"
 #include "rpc/peer.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 
 using net::Ms;
 
@@ -75,7 +75,7 @@
 
 // What becomes of one message. `late`: the sender gets no answer, the receiver gets it after so
 // long.
-struct Fate {
+struct Delivery {
   bool refuse = false;              // certainly not sent
   int status = 0;                   // not 0: answered with this, not executed
   bool lose_answer = false;         // executed, but the answer never comes
@@ -86,7 +86,7 @@
   std::optional<Ms> copy;  // comes once more after so long; nobody hears the answer to that
 };
 
-using Rule = std::function<Fate(const std::string& from, const net::Call& call)>;
+using Rule = std::function<Delivery(const std::string& from, const net::Call& call)>;
 using Service = std::function<void(const net::Request&, net::Answer)>;
 
 class SimNet {
@@ -112,7 +112,7 @@
 
   void call(const std::string& from, std::shared_ptr<bool> alive, net::Call call,
             net::ReplyFn done) {
-    const Fate fate = rule_ ? rule_(from, call) : Fate{};
+    const Delivery fate = rule_ ? rule_(from, call) : Delivery{};
     if (fate.refuse) {
       time_.after(latency(), [alive, done] {
         if (*alive) done({net::Reply::Fate::not_sent, 0, {}});
@@ -220,4 +220,4 @@
   rpc::Receive receive_;
 };
 
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/standins/state_service.h
+++ b/tests/fakes/state_service.h
@@ -11,7 +11,7 @@
 #include "net/runtime.h"
 #include "wire/codec.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 
 class StateService {
  public:
@@ -280,4 +280,4 @@
   std::map<std::uint64_t, Watcher> watchers_;
 };
 
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/standins/workers.h
+++ b/tests/fakes/workers.h
@@ -1,4 +1,4 @@
-// Our own stand-ins for the cloud and its workers, with a judge that watches the rules.
+// Our own stand-ins for the cloud and its workers, with a checker that watches the rules.
 #pragma once
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "standins/sim.h"
+#include "fakes/sim.h"
 #include "wire/codec.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 
 struct TaskKey {
   std::string job;
@@ -29,7 +29,7 @@
 };
 
 // What every worker shares: what jobs there are, and who runs what.
-struct Judge {
+struct InvariantChecker {
   Ms cancel_ms = 0;
   std::map<std::string, JobFacts> jobs;
   std::map<TaskKey, std::string> on;  // task -> machine that has it
@@ -153,10 +153,10 @@
 
 class Worker {
  public:
-  Worker(SimNet& net, Judge& judge, Timing timing, std::string name, std::string type,
+  Worker(SimNet& net, InvariantChecker& checker, Timing timing, std::string name, std::string type,
          std::string zone, bool spot, std::vector<std::string> nodes)
       : net_(net),
-        judge_(judge),
+        checker_(checker),
         timing_(timing),
         name_(std::move(name)),
         type_(std::move(type)),
@@ -167,7 +167,7 @@
     net_.serve(
         addr(), [this](const net::Request& r, net::Answer a) { handle(r, a); }, true);
     answered_sent_ = now();
-    judge_.places[name_] = {type_, zone_, spot_};
+    checker_.places[name_] = {type_, zone_, spot_};
     report();
     watch_lease();
   }
@@ -180,7 +180,7 @@
     *alive_ = false;
     net_.silence(addr());
     for (auto& [k, t] : tasks_)
-      if (t.on) judge_.stopped(k, name_, now());
+      if (t.on) checker_.stopped(k, name_, now());
     tasks_.clear();
   }
   void fail_next(wire::ExitCause cause) { forced_ = cause; }
@@ -310,15 +310,15 @@
       Task* task = find(key, run);
       if (!task) return;
       task->on = true;
-      judge_.started(key, name_, now());
-      if (judge_.done.count(key) != 0) return exit(key, wire::ExitCause::done);
-      if (judge_.jobs[key.job].mistaken) return exit(key, wire::ExitCause::error);
+      checker_.started(key, name_, now());
+      if (checker_.done.count(key) != 0) return exit(key, wire::ExitCause::done);
+      if (checker_.jobs[key.job].mistaken) return exit(key, wire::ExitCause::error);
       if (forced_) {
         const auto cause = *forced_;
         forced_.reset();
         return exit(key, cause);
       }
-      const wire::Job& spec = judge_.jobs[key.job].spec;
+      const wire::Job& spec = checker_.jobs[key.job].spec;
       if (spec.kind == wire::JobKind::gang) {
         task->state = wire::TaskState::waiting;
         gang_ready(key, run);
@@ -331,9 +331,9 @@
   void gang_ready(const TaskKey& key, std::uint64_t run) {
     Task* task = find(key, run);
     if (!task) return;
-    const wire::Job& spec = judge_.jobs[key.job].spec;
+    const wire::Job& spec = checker_.jobs[key.job].spec;
     std::uint32_t here = 0;
-    for (std::uint32_t i = 0; i < spec.tasks; ++i) here += judge_.on.count({key.job, i}) != 0;
+    for (std::uint32_t i = 0; i < spec.tasks; ++i) here += checker_.on.count({key.job, i}) != 0;
     if (here < spec.tasks) {
       after(100, [this, key, run] { gang_ready(key, run); });
       return;
@@ -344,14 +344,14 @@
   void complete_after(const TaskKey& key, std::uint64_t run, const wire::Job& spec) {
     after(net::ms(spec.estimate_s), [this, key, run] {
       if (!find(key, run)) return;
-      const wire::Job& spec = judge_.jobs[key.job].spec;
-      if (spec.kind == wire::JobKind::gang && judge_.done.count(key) == 0) {
+      const wire::Job& spec = checker_.jobs[key.job].spec;
+      if (spec.kind == wire::JobKind::gang && checker_.done.count(key) == 0) {
         // A gang completes together, or not at all.
         for (std::uint32_t i = 0; i < spec.tasks; ++i)
-          if (judge_.on.count({key.job, i}) == 0) return exit(key, wire::ExitCause::peers);
-        for (std::uint32_t i = 0; i < spec.tasks; ++i) judge_.done.insert({key.job, i});
+          if (checker_.on.count({key.job, i}) == 0) return exit(key, wire::ExitCause::peers);
+        for (std::uint32_t i = 0; i < spec.tasks; ++i) checker_.done.insert({key.job, i});
       }
-      judge_.done.insert(key);
+      checker_.done.insert(key);
       exit(key, wire::ExitCause::done);
     });
   }
@@ -363,7 +363,7 @@
   }
   void exit(const TaskKey& key, wire::ExitCause cause) {
     Task& t = tasks_[key];
-    if (t.on) judge_.stopped(key, name_, now());
+    if (t.on) checker_.stopped(key, name_, now());
     t.on = false;
     t.state = wire::TaskState::exited;
     t.cause = cause;
@@ -372,7 +372,7 @@
   void expire() {
     if (now() - answered_sent_ <= timing_.lease) return;
     for (auto& [k, t] : tasks_)
-      if (t.on) judge_.stopped(k, name_, now());
+      if (t.on) checker_.stopped(k, name_, now());
     tasks_.clear();
     ++incarnation_;
     answered_sent_ = now();
@@ -387,7 +387,7 @@
   }
 
   SimNet& net_;
-  Judge& judge_;
+  InvariantChecker& checker_;
   Timing timing_;
   std::string name_, type_, zone_;
   bool spot_;
@@ -402,8 +402,9 @@
 
 class CloudService {
  public:
-  CloudService(SimNet& net, Judge& judge, Timing timing, std::vector<std::string> nodes)
-      : net_(net), judge_(judge), timing_(timing), nodes_(std::move(nodes)) {}
+  CloudService(SimNet& net, InvariantChecker& checker, Timing timing,
+               std::vector<std::string> nodes)
+      : net_(net), checker_(checker), timing_(timing), nodes_(std::move(nodes)) {}
 
   bool down = false;
   bool keeps = false;  // deletes nothing
@@ -418,7 +419,7 @@
     listed_[name] = {type, zone, spot, net_.time().now()};
     net_.time().after(delay, [this, n = std::string(name), type, zone, spot] {
       if (listed_.count(n) == 0) return;
-      machines[n] = std::make_unique<Worker>(net_, judge_, timing_, n, type, zone, spot, nodes_);
+      machines[n] = std::make_unique<Worker>(net_, checker_, timing_, n, type, zone, spot, nodes_);
     });
     return name;
   }
@@ -428,7 +429,7 @@
     const Listed& l = listed_.at(n);
     machines.erase(n);
     machines[n] =
-        std::make_unique<Worker>(net_, judge_, timing_, n, l.type, l.zone, l.spot, nodes_);
+        std::make_unique<Worker>(net_, checker_, timing_, n, l.type, l.zone, l.spot, nodes_);
   }
 
   void handle(const net::Request& r, const net::Answer& answer) {
@@ -481,7 +482,7 @@
     Ms since = 0;
   };
   SimNet& net_;
-  Judge& judge_;
+  InvariantChecker& checker_;
   Timing timing_;
   std::vector<std::string> nodes_;
   int last_ = 0;
@@ -489,4 +490,4 @@
   std::map<std::string, std::vector<std::string>> asked_;
 };
 
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/standins/world.h
+++ b/tests/fakes/world.h
@@ -7,11 +7,11 @@
 #include <cstdlib>
 
 #include "app/node.h"
-#include "standins/sim.h"
-#include "standins/state_service.h"
-#include "standins/workers.h"
+#include "fakes/sim.h"
+#include "fakes/state_service.h"
+#include "fakes/workers.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 
 // What the state service takes now, and what it will take later.
 struct StoreLimits {
@@ -45,22 +45,22 @@
   return s;
 }
 
-class World {
+class SimulatedCluster {
  public:
   // LOG_LEVEL=debug in the environment shows what the controllers log.
-  ~World() { *user_ = false; }
-  World(const World&) = delete;
-  explicit World(unsigned seed = 1, int machines = 4, const StoreLimits& limits = {},
-                 const std::set<std::string>& production = {})
+  ~SimulatedCluster() { *user_ = false; }
+  SimulatedCluster(const SimulatedCluster&) = delete;
+  explicit SimulatedCluster(unsigned seed = 1, int machines = 4, const StoreLimits& limits = {},
+                            const std::set<std::string>& production = {})
       : net(time, seed),
         state(time),
-        cloud(net, judge, {3000, 20000, 300}, {"n0", "n1", "n2"}),
+        cloud(net, checker, {3000, 20000, 300}, {"n0", "n1", "n2"}),
         limits_(limits),
         production_(production) {
     const char* level = std::getenv("LOG_LEVEL");
     spdlog::set_level(level ? spdlog::level::from_str(level) : spdlog::level::off);
-    judge.cancel_ms = 40000;
-    for (const config::Team& t : settings_for("n0").teams) judge.gpus_max[t.name] = t.gpus_max;
+    checker.cancel_ms = 40000;
+    for (const config::Team& t : settings_for("n0").teams) checker.gpus_max[t.name] = t.gpus_max;
     net.serve("state:1", [this](const net::Request& r, net::Answer a) { state.handle(r, a); });
     net.serve("cloud:1", [this](const net::Request& r, net::Answer a) { cloud.handle(r, a); });
     for (const char* n : {"n0", "n1", "n2"}) start(n);
@@ -142,10 +142,10 @@
     return told;
   }
   Told submit(const std::string& node, const wire::Job& job) {
-    judge.jobs[job.id].spec = job;
+    checker.jobs[job.id].spec = job;
     const Told t = ask(node, "POST", "/api/jobs", wire::to_json(job).dump());
-    if (t.status == 201 || t.status == 200) judge.jobs[job.id].accepted = true;
-    if (t.status == 200 || t.status == 201) judge.told(job.id, t.status, t.stage(), time.now());
+    if (t.status == 201 || t.status == 200) checker.jobs[job.id].accepted = true;
+    if (t.status == 200 || t.status == 201) checker.told(job.id, t.status, t.stage(), time.now());
     return t;
   }
   // As users do: again until it is accepted.
@@ -159,7 +159,7 @@
     return false;
   }
   Told cancel(const std::string& node, const std::string& id) {
-    judge.jobs[id].cancel_asked = true;
+    checker.jobs[id].cancel_asked = true;
     return heard(id, ask(node, "POST", "/api/jobs/" + id + "/abort"));
   }
   // As users do: again and again, until the answer is final. Each refusal must come at once and say
@@ -178,7 +178,7 @@
   }
   // Asks and goes on; the answer counts when it comes.
   void cancel_soon(const std::string& node, const std::string& id) {
-    judge.jobs[id].cancel_asked = true;
+    checker.jobs[id].cancel_asked = true;
     net.call("user", user_, {node + ":8080", "POST", "/api/jobs/" + id + "/abort", "", 5000},
              [this, id](const net::Reply& r) {
                heard(id, {r.status, wire::Json::parse(r.body, nullptr, false)});
@@ -190,20 +190,20 @@
   // Tasks of this job that are on a machine now.
   int on(const std::string& id) const {
     int n = 0;
-    for (const auto& [task, machine] : judge.on) n += task.job == id ? 1 : 0;
+    for (const auto& [task, machine] : checker.on) n += task.job == id ? 1 : 0;
     return n;
   }
   // Its tasks that are not done; and those that, moreover, are on no machine now.
   int left(const std::string& id) const {
     int n = 0;
-    for (std::uint32_t i = 0; i < judge.jobs.at(id).spec.tasks; ++i)
-      n += judge.done.count({id, i}) == 0 ? 1 : 0;
+    for (std::uint32_t i = 0; i < checker.jobs.at(id).spec.tasks; ++i)
+      n += checker.done.count({id, i}) == 0 ? 1 : 0;
     return n;
   }
   int not_begun(const std::string& id) const {
     int n = 0;
-    for (std::uint32_t i = 0; i < judge.jobs.at(id).spec.tasks; ++i)
-      n += judge.done.count({id, i}) == 0 && judge.on.count({id, i}) == 0 ? 1 : 0;
+    for (std::uint32_t i = 0; i < checker.jobs.at(id).spec.tasks; ++i)
+      n += checker.done.count({id, i}) == 0 && checker.on.count({id, i}) == 0 ? 1 : 0;
     return n;
   }
   // True once a poll says `stage`.
@@ -223,7 +223,7 @@
   std::vector<net::Call>& record(const char* path) {
     net.set_rule([this, path](const std::string&, const net::Call& c) {
       if (c.path == path) recorded_.push_back(c);
-      return Fate{};
+      return Delivery{};
     });
     return recorded_;
   }
@@ -234,7 +234,7 @@
   }
   int starts() const {
     int n = 0;
-    for (const auto& [task, k] : judge.starts) n += k;
+    for (const auto& [task, k] : checker.starts) n += k;
     return n;
   }
   bool settle() {
@@ -242,33 +242,33 @@
       time.run_for(100);
     return !leader().empty();
   }
-  void expect_rules() const { EXPECT_TRUE(judge.broken.empty()) << judge.broken.front(); }
+  void expect_rules() const { EXPECT_TRUE(checker.broken.empty()) << checker.broken.front(); }
 
   SimTime time;
   SimNet net;
-  Judge judge;
+  InvariantChecker checker;
   StateService state;
   CloudService cloud;
 
  private:
   void audit() {
     time.after(250, [this] {
-      judge.audit(time.now());
+      checker.audit(time.now());
       audit();
     });
   }
   // Its user knows from now on, whoever said so and to which question.
   Told heard(const std::string& id, const Told& t) {
-    judge.told(id, t.status, t.stage(), time.now());
-    if (t.status == 200 && t.stage() == "withdrawn" && !judge.jobs[id].cancelled) {
-      judge.jobs[id].cancelled = true;
-      judge.jobs[id].cancelled_at = time.now();
+    checker.told(id, t.status, t.stage(), time.now());
+    if (t.status == 200 && t.stage() == "withdrawn" && !checker.jobs[id].cancelled) {
+      checker.jobs[id].cancelled = true;
+      checker.jobs[id].cancelled_at = time.now();
     }
     return t;
   }
 
   struct SimNode {
-    SimNode(World& w, const std::string& name)
+    SimNode(SimulatedCluster& w, const std::string& name)
         : process(w.time),
           http(w.net, name, process.alive()),
           peers(w.net, w.registry_, name, w.production_),
@@ -314,4 +314,4 @@
   return j;
 }
 
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/formats_answers_test.cc
+++ b/tests/formats_answers_test.cc
@@ -8,10 +8,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include "fakes/world.h"
 #include "net/http_server.h"
-#include "standins/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 // One of three controllers; the others never answer.
@@ -40,8 +40,8 @@
   SimTime time;
   SimNet net{time, 1};
   StateService state{time};
-  Judge judge;
-  CloudService cloud{net, judge, {3000, 20000, 300}, {"n0"}};
+  InvariantChecker checker;
+  CloudService cloud{net, checker, {3000, 20000, 300}, {"n0"}};
   SimPeers::Registry registry;
   std::set<std::string> production;
   Process process{time};
@@ -241,4 +241,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/formats_leader_test.cc
+++ b/tests/formats_leader_test.cc
@@ -6,9 +6,9 @@
 // previous version, is no longer understood.
 #include <gtest/gtest.h>
 
-#include "standins/world.h"
+#include "fakes/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 // What is stored of a job of two tasks that run on the only machine.
@@ -24,7 +24,7 @@
     EXPECT_TRUE(world.reaches("wk-8810", "running", 30000));
   }
 
-  World world;
+  SimulatedCluster world;
 };
 
 TEST(Formats, StoresTheLeaderAndTheClusterAsBefore) {
@@ -47,7 +47,7 @@
 }
 
 TEST(Formats, ReadsTheClusterRecord) {
-  World world(1, 1);
+  SimulatedCluster world(1, 1);
   world.put("cluster", wire::Json::parse(R"({"chunk_tasks":16,"segment_tasks":10,"version":1})"));
   ASSERT_TRUE(world.settle());
   ASSERT_EQ(world.submit("n0", array_job("wk-8811", 12, 60)).status, 201);
@@ -75,4 +75,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -8,11 +8,11 @@
 #include <gtest/gtest.h>
 
 #include "cloud/client.h"
-#include "standins/world.h"
+#include "fakes/world.h"
 #include "state/client.h"
 #include "workers/client.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 // Keeps the requests as texts and answers all with the same reply.
@@ -168,4 +168,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -2,9 +2,9 @@
 // out; docs/architecture.md has the table. In simulated time, against our own stand-ins.
 #include <gtest/gtest.h>
 
-#include "standins/world.h"
+#include "fakes/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 bool ends_a_job(const net::Call& c) {
@@ -33,7 +33,7 @@
 // with the old leader, for which its peers vouch.
 TEST_P(Meetings, GapBetweenRefusalAndOutage) {
   const Gap g = GetParam();
-  World w(3, 6);
+  SimulatedCluster w(3, 6);
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 400));
   w.submit("n0", gang_job("wk-2", 2, 400));
@@ -42,7 +42,7 @@
   const std::string old = w.leader();
   bool refused = false, lost = g.stops_lost;
   w.net.set_rule([&](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (from == old && c.endpoint == "state:1") {
       if (refused)
         f.status = 503;
@@ -57,7 +57,7 @@
   });
   const auto user = std::make_shared<bool>(true);
   for (const char* id : {"wk-1", "wk-2"}) {
-    w.judge.jobs[id].cancel_asked = true;
+    w.checker.jobs[id].cancel_asked = true;
     w.net.call("user", user,
                {old + ":8080", "POST", std::string("/api/jobs/") + id + "/abort", "", 5000},
                [](const net::Reply&) {});
@@ -118,13 +118,13 @@
 // store is down for all before it has listed anything.
 TEST(MeetingsOfTwo, LeaderThatHasNotListedKeepsNothingCancelled) {
   for (const Ms after : {0, 300, 900}) {
-    World w;
+    SimulatedCluster w;
     ASSERT_TRUE(w.settle());
     w.submit("n0", array_job("wk-1", 6, 400));
     ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
     const std::string old = w.leader(), other = w.follower();
     w.net.set_rule([old](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       f.never = from == old && c.path == "/commands";
       f.lose_answer = c.path == "/checkin" && c.endpoint == old + ":8080";
       return f;
@@ -149,14 +149,14 @@
 // no other says anything older.
 TEST(MeetingsOfTwo, NoOlderAnswerWhileTheEndIsUnknown) {
   for (const bool cancelled : {true, false}) {
-    World w;
+    SimulatedCluster w;
     ASSERT_TRUE(w.settle());
     w.submit("n0", array_job("wk-1", 2, cancelled ? 300 : 6));
     ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
     const std::string old = w.leader(), other = w.follower();
     bool refused = false;
     w.net.set_rule([&](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       if (from != old || c.endpoint != "state:1") return f;
       if (refused) f.status = 503;
       if (ends_a_job(c)) f.lose_answer = refused = true;
@@ -185,7 +185,7 @@
 
 TEST_P(Days, BreakNoRuleAndLeaveNothingBehind) {
   const unsigned seed = GetParam();
-  World w(seed, 6);
+  SimulatedCluster w(seed, 6);
   w.cloud.capacity = 12;
   std::mt19937 random(seed * 6007 + 5);
   const auto pick = [&](unsigned n) { return static_cast<unsigned>(random() % n); };
@@ -195,7 +195,7 @@
   unsigned severity = 0, late_writes = 0, late_reports = 0;
   std::string deaf, mute, refused, alone, still;
   w.net.set_rule([&](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (from == "user") return f;
     const bool report = c.path == "/checkin", store = c.endpoint == "state:1";
     // Its reports arrive; answers and commands do not reach it.
@@ -310,7 +310,7 @@
           for (int i = 0; i < 300 && w.left(one) > 0; ++i) w.time.run_for(50);
           cancel_job(one);
           w.poll(node, one);
-          w.submit(node, w.judge.jobs[one].spec);
+          w.submit(node, w.checker.jobs[one].spec);
         }
         break;
       case 10:
@@ -371,11 +371,11 @@
   // time below, from when those before it are done.)
   w.time.run_until(std::max(w.time.now(), over + 90000));
   for (const std::string& id : accepted)
-    if (!w.judge.jobs[id].cancelled && w.judge.jobs[id].spec.dependencies.empty()) {
+    if (!w.checker.jobs[id].cancelled && w.checker.jobs[id].spec.dependencies.empty()) {
       EXPECT_EQ(w.not_begun(id), 0) << id << " waits\n" << w.state.dump("work/" + id);
     }
   for (const std::string& id : accepted)
-    EXPECT_TRUE(w.reaches(id, w.judge.cancelled_since(id) ? "withdrawn" : "done", 90000)) << id;
+    EXPECT_TRUE(w.reaches(id, w.checker.cancelled_since(id) ? "withdrawn" : "done", 90000)) << id;
   w.time.run_for(45000);
   w.expect_rules();
 }
@@ -386,13 +386,13 @@
 // told within a few reports, the start does nothing when it comes, and the machine's other work
 // goes on.
 TEST(MeetingsOfTwo, StartHeldUpWhileItsJobIsCancelled) {
-  World w(1, 1);
+  SimulatedCluster w(1, 1);
   w.cloud.capacity = 1;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-900", 1, 40));
   ASSERT_TRUE(w.reaches("wk-900", "running", 30000));
   w.net.set_rule([](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (c.path == "/commands" && c.body.find("\"run\"") != std::string::npos) f.late = 15000;
     return f;
   });
@@ -401,20 +401,20 @@
   EXPECT_EQ(w.cancel_until_told("n1", "wk-1", 12000).stage(), "withdrawn");
   w.time.run_for(30000);
   EXPECT_TRUE(w.reaches("wk-900", "done", 20000));
-  EXPECT_EQ(w.judge.starts[(TaskKey{"wk-900", 0})], 1);
+  EXPECT_EQ(w.checker.starts[(TaskKey{"wk-900", 0})], 1);
   w.expect_rules();
 }
 
 // Two machines; the first has more than one incarnation behind it, and one of its old reports comes
 // back later.
 struct FormerLife {
-  explicit FormerLife(World& w) : w(w) {
+  explicit FormerLife(SimulatedCluster& w) : w(w) {
     w.cloud.capacity = 2;
     EXPECT_TRUE(w.settle());
     w.cloud.keeps = true;
     bool cut = true;
     w.net.set_rule([this, &cut](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       if (from != "m-000001" || c.path != "/checkin") return f;
       f.refuse = cut;
       if (!cut) report = c;
@@ -436,14 +436,14 @@
     w.cloud.restart("m-000001");
     next_leader();
   }
-  World& w;
+  SimulatedCluster& w;
   net::Call report;
 };
 
 // A copy of a report of a machine's former life, with more sessions than the present one, reaches
 // the next leader: it does not end the incarnation in which the machine runs its tasks.
 TEST(MeetingsOfTwo, ReportOfAFormerLifeEndsNoSession) {
-  World w(1, 2);
+  SimulatedCluster w(1, 2);
   FormerLife life(w);
   life.begin_anew();
   w.time.run_for(4000);
@@ -468,7 +468,7 @@
 // The records name a incarnation that the machine has not reached again: its tasks are not waited
 // for.
 TEST(MeetingsOfTwo, SessionOfAFormerLifeIsNotWaitedFor) {
-  World w(1, 2);
+  SimulatedCluster w(1, 2);
   FormerLife life(w);
   life.next_leader();  // idle machines have been given up by now
   w.submit(w.leader(), array_job("wk-1", 4, 30));
@@ -480,10 +480,10 @@
   w.expect_rules();
 }
 
-// The judge is no part of what it judges: each rule, broken on purpose, is reported.
-TEST(Judge, ReportsEveryRuleBroken) {
+// The checker is no part of what it judges: each rule, broken on purpose, is reported.
+TEST(InvariantChecker, ReportsEveryRuleBroken) {
   const auto judge_of = [](const auto& what) {
-    Judge j;
+    InvariantChecker j;
     j.cancel_ms = 40000;
     j.gpus_max["blue"] = 2;
     j.places = {{"m1", {"big", "a", false}}, {"m2", {"big", "b", true}}};
@@ -493,7 +493,7 @@
     for (const std::string& b : j.broken) all += b.substr(0, b.find(' ')) + " ";
     return all;
   };
-  EXPECT_EQ(judge_of([](Judge& j) {
+  EXPECT_EQ(judge_of([](InvariantChecker& j) {
               j.started({"wk-1", 0}, "m1", 1);
               j.started({"wk-1", 1}, "m2", 2);
               j.jobs["wk-1"].accepted = true;
@@ -503,17 +503,17 @@
               j.told("wk-2", 404, "");
             }),
             "");
-  EXPECT_EQ(judge_of([](Judge& j) {
+  EXPECT_EQ(judge_of([](InvariantChecker& j) {
               j.started({"wk-1", 0}, "m1", 1);
               j.started({"wk-1", 0}, "m2", 2);
             }),
             "ran_twice ");
-  EXPECT_EQ(judge_of([](Judge& j) {
+  EXPECT_EQ(judge_of([](InvariantChecker& j) {
               for (std::uint32_t i = 0; i < 3; ++i) j.started({"wk-1", i}, "m1", 1);
             }),
             "quota ");
   const auto placed = [&](const auto& demand) {
-    return judge_of([&](Judge& j) {
+    return judge_of([&](InvariantChecker& j) {
       demand(j.jobs["wk-1"].spec);
       j.started({"wk-1", 0}, "m1", 1);
       j.started({"wk-1", 1}, "m2", 1);
@@ -523,59 +523,60 @@
   EXPECT_EQ(placed([](wire::Job& j) { j.one_zone = true; }), "wrong_place ");
   EXPECT_EQ(placed([](wire::Job& j) { j.spot = false; }), "wrong_place ");
   EXPECT_EQ(placed([](wire::Job& j) { j.types = {{"small"}}; }), "wrong_place wrong_place ");
-  EXPECT_EQ(judge_of([](Judge& j) {
+  EXPECT_EQ(judge_of([](InvariantChecker& j) {
               j.jobs["wk-1"].spec.spread = true;
               j.jobs["wk-1"].spec.tasks = 2;
               j.started({"wk-1", 0}, "m1", 1);
               j.started({"wk-1", 1}, "m1", 1);
             }),
             "wrong_place ");
-  const auto cancelled = [](Judge& j) {
+  const auto cancelled = [](InvariantChecker& j) {
     j.jobs["wk-1"].cancelled = true;
     j.jobs["wk-1"].cancelled_at = 10;
   };
-  EXPECT_EQ(judge_of([&](Judge& j) {
+  EXPECT_EQ(judge_of([&](InvariantChecker& j) {
               cancelled(j);
               j.started({"wk-1", 0}, "m1", 11);
             }),
             "started_cancelled ");
-  EXPECT_EQ(judge_of([&](Judge& j) {
+  EXPECT_EQ(judge_of([&](InvariantChecker& j) {
               j.started({"wk-1", 0}, "m1", 1);
               cancelled(j);
               j.audit(40010);
               j.audit(40011);
             }),
             "ran_cancelled ");
-  EXPECT_EQ(judge_of([](Judge& j) {
+  EXPECT_EQ(judge_of([](InvariantChecker& j) {
               j.jobs["wk-1"].accepted = true;
               j.told("wk-1", 404, "");
             }),
             "forgotten ");
-  EXPECT_EQ(judge_of([](Judge& j) { j.told("wk-9", 200, "queued"); }), "invented ");
-  EXPECT_EQ(judge_of([](Judge& j) {
+  EXPECT_EQ(judge_of([](InvariantChecker& j) { j.told("wk-9", 200, "queued"); }), "invented ");
+  EXPECT_EQ(judge_of([](InvariantChecker& j) {
               j.done = {{"wk-1", 0}, {"wk-1", 2}};
               j.told("wk-1", 200, "done");
             }),
             "not_done ");
-  const auto dependent = [](Judge& j) {
+  const auto dependent = [](InvariantChecker& j) {
     j.jobs["wk-2"].spec = array_job("wk-2", 1);
     j.jobs["wk-2"].spec.dependencies = {"wk-1"};
   };
-  EXPECT_EQ(judge_of([&](Judge& j) {
+  EXPECT_EQ(judge_of([&](InvariantChecker& j) {
               dependent(j);
               j.done = {{"wk-1", 0}, {"wk-1", 1}};
               j.started({"wk-2", 0}, "m1", 1);
             }),
             "too_early ");
-  EXPECT_EQ(judge_of([&](Judge& j) {
+  EXPECT_EQ(judge_of([&](InvariantChecker& j) {
               dependent(j);
               cancelled(j);
               j.told("wk-2", 200, "queued", 40010);
               j.told("wk-2", 200, "queued", 40011);
             }),
             "orphaned ");
-  EXPECT_EQ(judge_of([](Judge& j) { j.told("wk-1", 200, "withdrawn"); }), "cancelled_unasked ");
-  EXPECT_EQ(judge_of([](Judge& j) {
+  EXPECT_EQ(judge_of([](InvariantChecker& j) { j.told("wk-1", 200, "withdrawn"); }),
+            "cancelled_unasked ");
+  EXPECT_EQ(judge_of([](InvariantChecker& j) {
               j.jobs["wk-1"].cancel_asked = true;
               j.told("wk-1", 200, "withdrawn");
               j.told("wk-1", 503, "");
@@ -585,4 +586,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -3,9 +3,9 @@
 
 #include <optional>
 
+#include "fakes/sim.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "standins/sim.h"
 #include "state/client.h"
 #include "workers/client.h"
 
@@ -178,7 +178,7 @@
 
 TEST(Net, SubmissionsWaitOnNothingLessUrgent) {
   HeldCaller http;
-  standins::SimTime time;
+  fakes::SimTime time;
   state::Client client(time, http, "state:1", 50, 10, 1000);
   for (int i = 0; i < 60; ++i) {
     state::Txn txn;
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -8,9 +8,9 @@
 
 #include <fstream>
 
+#include "fakes/world.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "standins/world.h"
 
 namespace seampass {
 namespace {
@@ -60,11 +60,11 @@
 
 TEST(Process, AnswersOverLoopback) {
   net::Loop loop;
-  standins::StateService state(loop);
-  standins::SimTime nowhere;
-  standins::SimNet nothing(nowhere, 1);
-  standins::Judge judge;
-  standins::CloudService cloud(nothing, judge, {}, {"n0"});
+  fakes::StateService state(loop);
+  fakes::SimTime nowhere;
+  fakes::SimNet nothing(nowhere, 1);
+  fakes::InvariantChecker checker;
+  fakes::CloudService cloud(nothing, checker, {}, {"n0"});
   net::HttpServer state_server(
       loop, {}, [&](const net::Request& r, net::Answer a) { state.handle(r, std::move(a)); });
   net::HttpServer cloud_server(loop, {},
@@ -128,7 +128,7 @@
     };
     for (int i = 0; i < 100 && !ask("GET", "/up", "").is(200); ++i) pause(50);
     EXPECT_TRUE(ask("GET", "/up", "").is(200));
-    const std::string job = wire::to_json(standins::array_job("wk-5", 2)).dump();
+    const std::string job = wire::to_json(fakes::array_job("wk-5", 2)).dump();
     EXPECT_EQ(ask("POST", "/api/jobs", job).status, 201);
     EXPECT_EQ(ask("POST", "/api/jobs", job).status, 200);
     EXPECT_EQ(ask("GET", "/api/jobs/wk-5", "").status, 200);
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -2,14 +2,14 @@
 
 #include <gtest/gtest.h>
 
+#include "fakes/sim.h"
+#include "fakes/state_service.h"
 #include "leader/election.h"
-#include "standins/sim.h"
-#include "standins/state_service.h"
 
 namespace seampass::leader {
 namespace {
 
-using standins::Fate;
+using fakes::Delivery;
 
 class RecordStoreTest : public ::testing::Test {
  protected:
@@ -43,11 +43,11 @@
     return v;
   }
 
-  standins::SimTime time;
-  standins::SimNet net;
-  standins::StateService service;
-  standins::Process process;
-  standins::SimCaller http;
+  fakes::SimTime time;
+  fakes::SimNet net;
+  fakes::StateService service;
+  fakes::Process process;
+  fakes::SimCaller http;
   state::Client client;
   std::optional<wire::Json> value = wire::Json{{"n", 1}};
   bool fenced = false, ended_elsewhere = false, rejected = false;
@@ -59,7 +59,7 @@
 TEST_F(RecordStoreTest, LostAnswerIsReadBackAndReportedOnce) {
   int lost = 0, durable = 0;
   net.set_rule([&](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     f.lose_answer = c.path == "/txn" && lost++ == 0;
     return f;
   });
@@ -73,7 +73,7 @@
 TEST_F(RecordStoreTest, LateWriteCannotUndoANewerOne) {
   int sent = 0, durable = 0;
   net.set_rule([&](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (c.path == "/txn" && sent++ == 0) f.late = 20000;
     return f;
   });
--- a/tests/troubles_test.cc
+++ b/tests/troubles_test.cc
@@ -1,16 +1,16 @@
 // Troubles beyond the ordinary ones, each with the guard that it needs: take the guard out, and the
-// test fails. In simulated time, against our own stand-ins, with a judge of the rules.
+// test fails. In simulated time, against our own stand-ins, with a checker of the rules.
 #include <gtest/gtest.h>
 
-#include "standins/world.h"
+#include "fakes/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 // Nothing passes to or from these machines, as long as they are in the set.
-void cut_off(World& w, const std::set<std::string>& machines) {
+void cut_off(SimulatedCluster& w, const std::set<std::string>& machines) {
   w.net.set_rule([&machines](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     f.never = machines.count(from) != 0 || machines.count(c.endpoint.substr(0, 8)) != 0;
     return f;
   });
@@ -18,13 +18,13 @@
 
 // Reports of a machine arrive, but answers and commands do not reach it.
 TEST(Trouble, MachineThatHearsNothingKeepsNoWork) {
-  World w(1, 2);
+  SimulatedCluster w(1, 2);
   w.cloud.capacity = 4;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 4, 30));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
   w.net.set_rule([](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     f.lose_answer = from == "m-000001";
     f.never = c.endpoint == "m-000001:9000";
     return f;
@@ -32,17 +32,17 @@
   w.submit("n0", array_job("wk-2", 6, 5));
   EXPECT_TRUE(w.reaches("wk-2", "done", 60000));
   EXPECT_TRUE(w.reaches("wk-1", "done", 120000));
-  for (const auto& [task, machine] : w.judge.on) EXPECT_NE(machine, "m-000001") << task.job;
+  for (const auto& [task, machine] : w.checker.on) EXPECT_NE(machine, "m-000001") << task.job;
   w.expect_rules();
 }
 
 // The same, of a machine with nothing to do: it is given work once or twice, then returned.
 TEST(Trouble, MachineThatAnswersNoCommandIsReturned) {
-  World w(1, 1);
+  SimulatedCluster w(1, 1);
   w.cloud.capacity = 2;
   ASSERT_TRUE(w.settle());
   w.net.set_rule([](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     f.never = c.endpoint == "m-000001:9000";
     return f;
   });
@@ -58,11 +58,11 @@
 // Copies of reports come late: after seconds, and after more than a lease, when their machine is
 // gone and another leads.
 TEST(Trouble, LateCopiesOfReportsAreNoNews) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   int n = 0;
   w.net.set_rule([&n](const std::string&, const net::Call& c) {
-    Fate f;
+    Delivery f;
     if (c.path == "/checkin") f.copy = ++n % 2 == 0 ? 2500 : 27000;
     return f;
   });
@@ -83,12 +83,12 @@
 
 // What copies say of a dead machine keeps nothing waiting on it.
 TEST(Trouble, CopiesKeepNoDeadMachineAlive) {
-  World w(1, 2);
+  SimulatedCluster w(1, 2);
   ASSERT_TRUE(w.settle());
   std::optional<net::Call> last;
   w.net.set_rule([&last](const std::string& from, const net::Call& c) {
     if (from == "m-000001") last = c;
-    return Fate{};
+    return Delivery{};
   });
   w.submit("n0", array_job("wk-1", 4, 20));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -110,13 +110,13 @@
 // A copy from a machine that the former leader had deleted reaches the next, which knows nothing of
 // that: nothing is placed there.
 TEST(Trouble, CopyFromADeletedMachineBringsNothingBack) {
-  World w(1, 1);
+  SimulatedCluster w(1, 1);
   w.cloud.capacity = 2;
   ASSERT_TRUE(w.settle());
   std::optional<net::Call> last;
   w.net.set_rule([&last](const std::string& from, const net::Call& c) {
     if (from == "m-000001") last = c;
-    return Fate{};
+    return Delivery{};
   });
   w.time.run_for(30000);  // idle: returned
   ASSERT_EQ(w.cloud.machines.count("m-000001"), 0u);
@@ -139,7 +139,7 @@
 
 // Machines back at once under their names, and a controller, in the middle of an election.
 TEST(Trouble, MachinesBackWithinAFractionOfASecond) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 8, 25));
   w.submit("n0", gang_job("wk-2", 2, 25));
@@ -161,7 +161,7 @@
 // A leader loses the store and its peers, but not its workers; meanwhile a job is cancelled, and a
 // task is started again elsewhere.
 TEST(Trouble, LeaderWithWorkersAloneFallsSilentInTime) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 300));
   w.submit("n0", array_job("wk-2", 6, 45));
@@ -169,7 +169,7 @@
   w.time.run_for(2000);
   const std::string old = w.leader();
   w.net.set_rule([old](const std::string& from, const net::Call& c) {
-    Fate f;
+    Delivery f;
     f.never = from == old && c.endpoint == "state:1";
     return f;
   });
@@ -187,7 +187,7 @@
   w.time.run_for(45000);
   w.cloud.down = false;
   EXPECT_TRUE(w.reaches("wk-2", "done", 150000));
-  for (std::uint32_t i = 0; i < 2; ++i) EXPECT_EQ(w.judge.on.count({"wk-1", i}), 0u);
+  for (std::uint32_t i = 0; i < 2; ++i) EXPECT_EQ(w.checker.on.count({"wk-1", i}), 0u);
   w.net.set_rule({});
   w.net.set_peer_rule({});
   w.time.run_for(5000);
@@ -198,7 +198,7 @@
 
 // Once all troubles are over, every accepted job is answered for, on every node, within 75 s.
 TEST(Trouble, EveryAcceptedJobStaysKnown) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   std::vector<std::string> ids;
   for (int i = 0; i < 12; ++i) {
@@ -236,7 +236,7 @@
 
 // A new leader has machines listed that have not found it yet: they are used, not returned.
 TEST(Trouble, NewLeaderReturnsNoMachineBeforeItCanHaveReported) {
-  World w(1, 8);
+  SimulatedCluster w(1, 8);
   w.cloud.capacity = 8;
   ASSERT_TRUE(w.settle());
   for (const char* n : {"n0", "n1", "n2"}) w.kill(n);
@@ -252,7 +252,7 @@
 
 // A zone falls silent as a whole: what is rented meanwhile is rented elsewhere.
 TEST(Trouble, NothingIsRentedInAZoneThatIsCutOff) {
-  World w(1, 8);
+  SimulatedCluster w(1, 8);
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 16, 120));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -278,7 +278,7 @@
 // Half of the machines miss their reports together, for less than a lease: none of them is returned
 // for being the first to have been silent for long.
 TEST(Trouble, MachinesThatFallSilentTogetherAreKept) {
-  World w(1, 8);
+  SimulatedCluster w(1, 8);
   w.cloud.capacity = 8;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 16, 60));
@@ -297,7 +297,7 @@
 
 // A new leader with several hundred open jobs places again within a quarter of a worker's lease.
 TEST(Trouble, NextLeaderOfManyJobsPlacesAgainSoon) {
-  World w(1, 4);
+  SimulatedCluster w(1, 4);
   w.cloud.capacity = 4;  // 8 tasks at once; the rest waits
   ASSERT_TRUE(w.settle());
   for (int i = 0; i < 300; ++i)
@@ -306,10 +306,10 @@
   w.kill(first);
   while (w.leader().empty()) w.time.run_for(100);
   int starts = 0;
-  for (const auto& [task, n] : w.judge.starts) starts += n;
+  for (const auto& [task, n] : w.checker.starts) starts += n;
   w.time.run_for(5000);  // lease_s / 4
   int later = 0;
-  for (const auto& [task, n] : w.judge.starts) later += n;
+  for (const auto& [task, n] : w.checker.starts) later += n;
   EXPECT_GT(later, starts);
   w.start(first);
   w.expect_rules();
@@ -338,11 +338,11 @@
       R"({"host":"m-000001","shift":-1,"tally":"x","pours":{}})",
       std::string(70000, '[')};
   for (unsigned seed = 1; seed <= 8; ++seed) {
-    World w(seed);
+    SimulatedCluster w(seed);
     std::mt19937 random(seed);
     ASSERT_TRUE(w.settle());
     w.net.set_rule([&](const std::string& from, const net::Call&) {
-      Fate f;
+      Delivery f;
       if (from.starts_with("n") && random() % 5 == 0) f.body = bodies[random() % bodies.size()];
       return f;
     });
@@ -370,10 +370,10 @@
 // A job that was submitted with a mistake fails everywhere until it is cancelled: it shuts no
 // machine to the others, and is tried now and then with one task.
 TEST(Trouble, JobThatFailsEverywhereIsInNobodysWay) {
-  World w(1, 4);
+  SimulatedCluster w(1, 4);
   w.cloud.capacity = 4;
   ASSERT_TRUE(w.settle());
-  w.judge.jobs["wk-1"].mistaken = w.judge.jobs["wk-2"].mistaken = true;
+  w.checker.jobs["wk-1"].mistaken = w.checker.jobs["wk-2"].mistaken = true;
   w.submit("n0", array_job("wk-1", 8, 60));
   w.submit("n0", gang_job("wk-2", 2, 60));
   w.time.run_for(4000);
@@ -393,7 +393,7 @@
 
 // Small gangs come as fast as they end, with two that need most of the zone waiting.
 TEST(Trouble, LargeGangsAreNotStarvedBySmallOnes) {
-  World w(1, 0);
+  SimulatedCluster w(1, 0);
   w.cloud.capacity = 4;
   for (int i = 0; i < 4; ++i) w.cloud.boot("big", "a", false, 10);
   ASSERT_TRUE(w.settle());
@@ -418,17 +418,17 @@
 // A leader whose timers come late has more to do than it can: it starts less often what would come
 // back to it as reports and records, so that time is left for its lease.
 TEST(Trouble, ABusyLeaderPlacesLessOften) {
-  World w(1, 8);
+  SimulatedCluster w(1, 8);
   ASSERT_TRUE(w.settle());
   constexpr Ms kLag = 800, kApart = 300;
   w.slow_down(w.leader(), kLag);
   int bursts = 0;  // of starts, which a pass sends together
   Ms last = 0;
   w.net.set_rule([&](const std::string&, const net::Call& c) {
-    if (c.path != "/commands" || c.body.find("\"run\"") == std::string::npos) return Fate{};
+    if (c.path != "/commands" || c.body.find("\"run\"") == std::string::npos) return Delivery{};
     if (w.time.now() - last > kApart) ++bursts;
     last = w.time.now();
-    return Fate{};
+    return Delivery{};
   });
   const Ms begin = w.time.now();
   for (int i = 0; i < 14; ++i) {
@@ -444,7 +444,7 @@
 // Nobody leads, and users ask far more often than the store could answer: it is left free for what
 // they submit meanwhile, and for the next leader.
 TEST(Trouble, PollsWithoutALeaderLeaveTheStoreToSubmissions) {
-  World w(1, 4);
+  SimulatedCluster w(1, 4);
   ASSERT_TRUE(w.settle());
   for (int i = 0; i < 40; ++i)
     w.submit(w.follower(), array_job("wk-" + std::to_string(100 + i), 1, 30));
@@ -484,4 +484,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -6,12 +6,12 @@
 
 #include <cstring>
 
+#include "fakes/production_peer.capnp.h"
+#include "fakes/world.h"
 #include "leader/task_record.h"
 #include "rpc/peer_link.h"
-#include "standins/production_peer.capnp.h"
-#include "standins/world.h"
 
-namespace seampass::standins {
+namespace seampass::fakes {
 namespace {
 
 using leader::Layout;
@@ -235,7 +235,7 @@
 class Rollout : public ::testing::Test {
  protected:
   // An array of `tasks` has been at work for so long.
-  static bool begin_array(World& w, std::uint32_t tasks, Ms at_work) {
+  static bool begin_array(SimulatedCluster& w, std::uint32_t tasks, Ms at_work) {
     if (!w.settle()) return false;
     w.submit("n0", wide_job("wk-1", tasks, 25));
     const bool running = w.reaches("wk-1", "running", 30000);
@@ -243,20 +243,20 @@
     return running;
   }
   // What production left, on machines that are listed and that nobody hears.
-  static void leave_production_records(World& w) {
+  static void leave_production_records(SimulatedCluster& w) {
     w.time.run_for(20);
     w.cloud.machines.clear();
     for (const auto& [key, value] : kProductionRecords) w.put(key, wire::Json::parse(value));
-    w.judge.jobs["wk-1"].spec = array_job("wk-1", 140, 9);
-    w.judge.jobs["wk-2"].spec = gang_job("wk-2", 3, 10);
+    w.checker.jobs["wk-1"].spec = array_job("wk-1", 140, 9);
+    w.checker.jobs["wk-2"].spec = gang_job("wk-2", 3, 10);
   }
-  static void leave_segments_in_use(World& w) {
+  static void leave_segments_in_use(SimulatedCluster& w) {
     w.put("cluster", {{"version", 1}, {"segment_tasks", 42}, {"chunk_tasks", 128}});
   }
-  static int segments(const World& w) {
+  static int segments(const SimulatedCluster& w) {
     return static_cast<int>(w.state.count("work/") - chunks(w));
   }
-  static int chunks(const World& w) {
+  static int chunks(const SimulatedCluster& w) {
     int n = 0;
     const std::string all = w.state.dump("work/");
     for (std::size_t at = 0; (at = all.find("work/", at)) != std::string::npos; ++at) {
@@ -268,7 +268,7 @@
 };
 
 TEST_F(Rollout, SegmentsOnlyOnceAllSayThatTheyAreNew) {
-  World w(1, 6, kFalling, {"n0", "n1", "n2"});
+  SimulatedCluster w(1, 6, kFalling, {"n0", "n1", "n2"});
   ASSERT_TRUE(w.settle());
   w.submit("n0", wide_job("wk-1", 100, 100));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -296,7 +296,7 @@
 // cancelled jobs under way.
 TEST_F(Rollout, LeadershipChangesBetweenVersions) {
   for (const unsigned seed : {1U, 2U, 3U}) {
-    World w(seed, 6, kFalling, {"n0", "n1", "n2"});
+    SimulatedCluster w(seed, 6, kFalling, {"n0", "n1", "n2"});
     ASSERT_TRUE(w.settle());
     w.submit("n0", wide_job("wk-1", 60, 12));
     w.submit("n1", gang_job("wk-2", 2, 60));
@@ -322,12 +322,12 @@
 // A leader ends after any transaction of the change of layout: the next one counts what is there.
 TEST_F(Rollout, EachStepFromChunksToSegmentsIsSafeToStopAfter) {
   for (int stop_after = 1; stop_after <= 5; ++stop_after) {
-    World w(1, 8, kLargeRecords, {"n2"});
+    SimulatedCluster w(1, 8, kLargeRecords, {"n2"});
     ASSERT_TRUE(begin_array(w, 400, 40000));  // some are done, some at work
     const std::string old = w.leader();
     int written = 0;
     w.net.set_rule([&](const std::string& from, const net::Call& c) {
-      Fate f;
+      Delivery f;
       if (from == old && c.path == "/txn" && c.body.find("work/wk-1/s") != std::string::npos &&
           ++written > stop_after)
         f.never = true;
@@ -351,10 +351,10 @@
 // machines that nobody hears are not started again before they are surely off.
 TEST_F(Rollout, RecoversWhatProductionLeft) {
   for (const bool segments_first : {false, true}) {
-    World w(1, 10, kFalling, {"n0", "n1", "n2"});
+    SimulatedCluster w(1, 10, kFalling, {"n0", "n1", "n2"});
     leave_production_records(w);
     if (segments_first) leave_segments_in_use(w);
-    for (std::uint32_t task = 0; task < 128; ++task) w.judge.done.insert({"wk-1", task});
+    for (std::uint32_t task = 0; task < 128; ++task) w.checker.done.insert({"wk-1", task});
     w.time.run_for(5000);
     ASSERT_FALSE(w.leader().empty());
     for (int i = 0; i < 6; ++i) w.cloud.boot("big", i % 2 == 0 ? "a" : "b", false, 10);
@@ -372,7 +372,7 @@
 // A former leader wrote a segment and did not get to delete the chunk: what the segment says
 // counts, and no attempt of the chunk is waited for.
 TEST_F(Rollout, ASegmentCountsBeforeTheChunk) {
-  World w(1, 10, kFalling);
+  SimulatedCluster w(1, 10, kFalling);
   leave_production_records(w);
   leave_segments_in_use(w);
   TaskRecord segment;
@@ -383,7 +383,7 @@
   segment.job_tasks = 140;
   segment.finished.assign(14, true);
   w.put("work/wk-1/s3", leader::encode(segment));
-  for (std::uint32_t task = 0; task < 140; ++task) w.judge.done.insert({"wk-1", task});
+  for (std::uint32_t task = 0; task < 140; ++task) w.checker.done.insert({"wk-1", task});
   EXPECT_TRUE(w.reaches("wk-1", "done", 15000));
   w.time.run_for(3000);
   EXPECT_EQ(w.state.count("work/wk-1/"), 0u);
@@ -394,7 +394,7 @@
 // about: nothing stands still, and the leader keeps its lease.
 TEST_F(Rollout, LimitsFallWithoutNotice) {
   for (const Ms after : {0, 500, 3000, 15000}) {
-    World w(1, 8, kLargeRecords, {"n2"});
+    SimulatedCluster w(1, 8, kLargeRecords, {"n2"});
     ASSERT_TRUE(begin_array(w, 400, 20000));
     w.upgrade("n2");
     w.time.run_for(after);
@@ -418,7 +418,7 @@
 
 TEST_F(Rollout, LimitsFallDuringARecoveryOrAnElection) {
   for (const Ms after : {100, 2500, 4500, 6000}) {
-    World w(1, 8, kLargeRecords, {"n2"});
+    SimulatedCluster w(1, 8, kLargeRecords, {"n2"});
     ASSERT_TRUE(begin_array(w, 200, 20000));
     w.upgrade("n2");
     w.time.run_for(300);
@@ -438,7 +438,7 @@
 // One peer can't be heard all along, and the limits fall: a value that is not taken says that the
 // upgrade is over.
 TEST_F(Rollout, LimitsFallWhileAPeerIsSilent) {
-  World w(1, 8, kLargeRecords);
+  SimulatedCluster w(1, 8, kLargeRecords);
   w.kill("n2");
   ASSERT_TRUE(begin_array(w, 400, 20000));
   EXPECT_FALSE(w.state.has("cluster"));
@@ -452,7 +452,7 @@
 
 // So does a submission with dependencies.
 TEST_F(Rollout, ADependencySaysThatTheUpgradeIsOver) {
-  World w(1, 4, kFalling);
+  SimulatedCluster w(1, 4, kFalling);
   w.kill("n2");
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 5));
@@ -470,7 +470,7 @@
 // A record that can't be read may hold attempts that are at work: its job is neither started nor
 // called cancelled.
 TEST_F(Rollout, AnUnreadableRecordIsNotTakenForNone) {
-  World w;
+  SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 300));
   ASSERT_TRUE(w.reaches("wk-1", "running", 30000));
@@ -493,4 +493,4 @@
 }
 
 }  // namespace
-}  // namespace seampass::standins
+}  // namespace seampass::fakes
