--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -427,9 +427,9 @@
 }
 
 // Many days of mixed troubles, each from its seed.
-class Troubles : public ::testing::TestWithParam<unsigned> {};
+class RandomizedClusterFaults : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Troubles, BreakNoRule) {
+TEST_P(RandomizedClusterFaults, BreakNoRule) {
   const unsigned seed = GetParam();
   SimulatedCluster w(seed, 5);
   std::mt19937 random(seed * 7919 + 1);
@@ -535,7 +535,7 @@
   w.expect_rules();
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Troubles, ::testing::Range(1u, 13u));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomizedClusterFaults, ::testing::Range(1u, 13u));
 
 }  // namespace
 }  // namespace seampass::fakes
--- a/tests/copies_test.cc
+++ b/tests/duplicate_delivery_test.cc
@@ -31,7 +31,7 @@
 }
 
 // Copies of the commands that started a job, after it was cancelled and all of it was gone.
-TEST(Copies, OfStartsDoNotRunACancelledJob) {
+TEST(DuplicateDelivery, OfStartsDoNotRunACancelledJob) {
   SimulatedCluster w(1, 1);
   ASSERT_NO_FATAL_FAILURE(keep_busy(w));
   auto& commands = w.record("/commands");
@@ -41,7 +41,7 @@
 }
 
 // A task that was done before its job was cancelled is not started again either.
-TEST(Copies, OfStartsDoNotRunWhatWasDoneOfACancelledJob) {
+TEST(DuplicateDelivery, OfStartsDoNotRunWhatWasDoneOfACancelledJob) {
   SimulatedCluster w(1, 1);
   ASSERT_NO_FATAL_FAILURE(keep_busy(w));
   auto& commands = w.record("/commands");
@@ -52,7 +52,7 @@
 }
 
 // An attempt failed, and the task runs elsewhere.
-TEST(Copies, OfStartsDoNotRunATaskTwice) {
+TEST(DuplicateDelivery, OfStartsDoNotRunATaskTwice) {
   SimulatedCluster w(1, 2);
   w.cloud.capacity = 3;
   ASSERT_TRUE(w.settle());
@@ -71,7 +71,7 @@
 
 // The next attempt of a task never waits behind one that can't be forgotten, and a job that fails
 // does not shut its machines for good.
-TEST(Copies, LeftoversAreInNobodysWay) {
+TEST(DuplicateDelivery, LeftoversAreInNobodysWay) {
   SimulatedCluster w(1, 2);
   w.cloud.capacity = 2;
   ASSERT_TRUE(w.settle());
@@ -82,7 +82,7 @@
 }
 
 // Answers to a node's former self carry numbers that its next self might use.
-TEST(Copies, OfAnswersToAFormerSelfAreNotTaken) {
+TEST(DuplicateDelivery, OfAnswersToAFormerSelfAreNotTaken) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 300));
@@ -104,7 +104,7 @@
 }
 
 // News of an acceptance reach the next leader, which never knew of the job's end.
-TEST(Copies, OfNewsDoNotBringAnEndedJobBack) {
+TEST(DuplicateDelivery, OfNewsDoNotBringAnEndedJobBack) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 1, 2));
@@ -122,7 +122,7 @@
 
 // A word given to this leader in an earlier term, by a round of the same number, vouches for
 // nothing.
-TEST(Copies, OfWordsOfAnEarlierTermVouchForNothing) {
+TEST(DuplicateDelivery, OfWordsOfAnEarlierTermVouchForNothing) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 6, 200));
@@ -146,7 +146,7 @@
 // A machine ends and is back at once, counting its reports from the start. What it is then told to
 // start runs until its own lease is over, and is started nowhere else before that; meanwhile no
 // machine can be returned.
-TEST(Copies, AMachineBackAtOnceIsNotGivenUpWhileItRuns) {
+TEST(DuplicateDelivery, AMachineBackAtOnceIsNotGivenUpWhileItRuns) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
     SimulatedCluster w(seed, 2);
     w.cloud.capacity = 2;
@@ -195,7 +195,7 @@
 // A report of a machine is held up; the machine ends, is back at once with a lower count, and is
 // given work. When the report arrives, its count makes it look newer than what the machine has said
 // since; it lacks the task, and proves nothing: the task runs.
-TEST(Copies, AReportHeldUpSinceBeforeARestartEndsNoTask) {
+TEST(DuplicateDelivery, AReportHeldUpSinceBeforeARestartEndsNoTask) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
     SimulatedCluster w(seed, 2);
     const std::string host = one_in_each_zone(w, 12);
@@ -227,7 +227,7 @@
 // A machine ends and is back at once; what it is told to start then is executed, and the answer is
 // lost. The task runs there until the lease that began with the machine is over, and no sooner is
 // it started elsewhere.
-TEST(Copies, AStartWithoutAnAnswerMayRunForALease) {
+TEST(DuplicateDelivery, AStartWithoutAnAnswerMayRunForALease) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
     SimulatedCluster w(seed, 2);
     const std::string host = one_in_each_zone(w, 14);
@@ -269,7 +269,7 @@
 
 // However many tasks of a job one machine has had: copies of their starts do nothing once the job
 // is cancelled, and the machine is not given up for that.
-TEST(Copies, OfManyStartsOnOneMachineDoNothing) {
+TEST(DuplicateDelivery, OfManyStartsOnOneMachineDoNothing) {
   SimulatedCluster w(1, 1);
   ASSERT_NO_FATAL_FAILURE(keep_busy(w));
   auto& commands = w.record("/commands");
@@ -290,7 +290,7 @@
 }
 
 // No worker reaches the leader, though the state service and its peers do.
-TEST(Copies, ALeaderThatNoWorkerReachesMakesWay) {
+TEST(DuplicateDelivery, ALeaderThatNoWorkerReachesMakesWay) {
   SimulatedCluster w(1, 6);
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 10, 60));
@@ -311,7 +311,7 @@
 
 // A leader makes way; of the others, one that no worker reaches leaves it to one that they do
 // reach.
-TEST(Copies, ANodeThatNoWorkerReachesStandsSecond) {
+TEST(DuplicateDelivery, ANodeThatNoWorkerReachesStandsSecond) {
   for (unsigned seed = 1; seed <= 8; ++seed) {
     SimulatedCluster w(seed, 6);
     ASSERT_TRUE(w.settle());
@@ -331,7 +331,7 @@
 }
 
 // Time goes on while something is handled, and a timer set meanwhile counts from then.
-TEST(Copies, NoTimeIsReadOnceForALongTurn) {
+TEST(DuplicateDelivery, NoTimeIsReadOnceForALongTurn) {
   net::Loop loop;
   Ms before = 0, after = 0, fired = 0;
   loop.after(1, [&] {
--- a/tests/meetings_test.cc
+++ b/tests/fault_combinations_test.cc
@@ -26,12 +26,12 @@
        << g.hang << " ms, apart " << g.apart;
 }
 
-class Meetings : public ::testing::TestWithParam<Gap> {};
+class FaultCombinations : public ::testing::TestWithParam<Gap> {};
 
 // Jobs are cancelled as the store refuses the leader alone; other controllers read what stands
 // there and tell the users; then it is down for all, for longer than cancel_s, and the workers stay
 // with the old leader, for which its peers vouch.
-TEST_P(Meetings, GapBetweenRefusalAndOutage) {
+TEST_P(FaultCombinations, GapBetweenRefusalAndOutage) {
   const Gap g = GetParam();
   SimulatedCluster w(3, 6);
   ASSERT_TRUE(w.settle());
@@ -92,7 +92,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Ways, Meetings,
+    Ways, FaultCombinations,
     ::testing::Values(Gap{Gap::FinalStatusReply::lost, 0, false, 0, false},
                       Gap{Gap::FinalStatusReply::lost, 0, false, 0, true},
                       Gap{Gap::FinalStatusReply::lost, 40, false, 0, false},
@@ -116,7 +116,7 @@
 
 // The former leader's last act is a confirmation, its stops are lost; the next is elected, and the
 // store is down for all before it has listed anything.
-TEST(MeetingsOfTwo, LeaderThatHasNotListedKeepsNothingCancelled) {
+TEST(FaultPairs, LeaderThatHasNotListedKeepsNothingCancelled) {
   for (const Ms after : {0, 300, 900}) {
     SimulatedCluster w;
     ASSERT_TRUE(w.settle());
@@ -147,7 +147,7 @@
 
 // The final status is in the store, its answer is lost, and one controller has read it to its user:
 // no other says anything older.
-TEST(MeetingsOfTwo, NoOlderAnswerWhileTheEndIsUnknown) {
+TEST(FaultPairs, NoOlderAnswerWhileTheEndIsUnknown) {
   for (const bool cancelled : {true, false}) {
     SimulatedCluster w;
     ASSERT_TRUE(w.settle());
@@ -181,9 +181,9 @@
 
 // Many days on which troubles meet, each from its seed; then all troubles end, and nothing may be
 // forgotten or left waiting.
-class Days : public ::testing::TestWithParam<unsigned> {};
+class RandomizedFaults : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Days, BreakNoRuleAndLeaveNothingBehind) {
+TEST_P(RandomizedFaults, BreakNoRuleAndLeaveNothingBehind) {
   const unsigned seed = GetParam();
   SimulatedCluster w(seed, 6);
   w.cloud.capacity = 12;
@@ -380,12 +380,12 @@
   w.expect_rules();
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Days, ::testing::Range(1u, 13u));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomizedFaults, ::testing::Range(1u, 13u));
 
 // A start is held up on its way to its machine, and its job is cancelled meanwhile: the user is
 // told within a few reports, the start does nothing when it comes, and the machine's other work
 // goes on.
-TEST(MeetingsOfTwo, StartHeldUpWhileItsJobIsCancelled) {
+TEST(FaultPairs, StartHeldUpWhileItsJobIsCancelled) {
   SimulatedCluster w(1, 1);
   w.cloud.capacity = 1;
   ASSERT_TRUE(w.settle());
@@ -442,7 +442,7 @@
 
 // A copy of a report of a machine's former life, with more sessions than the present one, reaches
 // the next leader: it does not end the incarnation in which the machine runs its tasks.
-TEST(MeetingsOfTwo, ReportOfAFormerLifeEndsNoSession) {
+TEST(FaultPairs, ReportOfAFormerLifeEndsNoSession) {
   SimulatedCluster w(1, 2);
   FormerLife life(w);
   life.begin_anew();
@@ -467,7 +467,7 @@
 
 // The records name a incarnation that the machine has not reached again: its tasks are not waited
 // for.
-TEST(MeetingsOfTwo, SessionOfAFormerLifeIsNotWaitedFor) {
+TEST(FaultPairs, SessionOfAFormerLifeIsNotWaitedFor) {
   SimulatedCluster w(1, 2);
   FormerLife life(w);
   life.next_leader();  // idle machines have been given up by now
--- a/tests/troubles_test.cc
+++ b/tests/fault_tolerance_test.cc
@@ -17,7 +17,7 @@
 }
 
 // Reports of a machine arrive, but answers and commands do not reach it.
-TEST(Trouble, MachineThatHearsNothingKeepsNoWork) {
+TEST(FaultTolerance, MachineThatHearsNothingKeepsNoWork) {
   SimulatedCluster w(1, 2);
   w.cloud.capacity = 4;
   ASSERT_TRUE(w.settle());
@@ -37,7 +37,7 @@
 }
 
 // The same, of a machine with nothing to do: it is given work once or twice, then returned.
-TEST(Trouble, MachineThatAnswersNoCommandIsReturned) {
+TEST(FaultTolerance, MachineThatAnswersNoCommandIsReturned) {
   SimulatedCluster w(1, 1);
   w.cloud.capacity = 2;
   ASSERT_TRUE(w.settle());
@@ -57,7 +57,7 @@
 
 // Copies of reports come late: after seconds, and after more than a lease, when their machine is
 // gone and another leads.
-TEST(Trouble, LateCopiesOfReportsAreNoNews) {
+TEST(FaultTolerance, LateCopiesOfReportsAreNoNews) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   int n = 0;
@@ -82,7 +82,7 @@
 }
 
 // What copies say of a dead machine keeps nothing waiting on it.
-TEST(Trouble, CopiesKeepNoDeadMachineAlive) {
+TEST(FaultTolerance, CopiesKeepNoDeadMachineAlive) {
   SimulatedCluster w(1, 2);
   ASSERT_TRUE(w.settle());
   std::optional<net::Call> last;
@@ -109,7 +109,7 @@
 
 // A copy from a machine that the former leader had deleted reaches the next, which knows nothing of
 // that: nothing is placed there.
-TEST(Trouble, CopyFromADeletedMachineBringsNothingBack) {
+TEST(FaultTolerance, CopyFromADeletedMachineBringsNothingBack) {
   SimulatedCluster w(1, 1);
   w.cloud.capacity = 2;
   ASSERT_TRUE(w.settle());
@@ -138,7 +138,7 @@
 }
 
 // Machines back at once under their names, and a controller, in the middle of an election.
-TEST(Trouble, MachinesBackWithinAFractionOfASecond) {
+TEST(FaultTolerance, MachinesBackWithinAFractionOfASecond) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 8, 25));
@@ -160,7 +160,7 @@
 
 // A leader loses the store and its peers, but not its workers; meanwhile a job is cancelled, and a
 // task is started again elsewhere.
-TEST(Trouble, LeaderWithWorkersAloneFallsSilentInTime) {
+TEST(FaultTolerance, LeaderWithWorkersAloneFallsSilentInTime) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 300));
@@ -197,7 +197,7 @@
 }
 
 // Once all troubles are over, every accepted job is answered for, on every node, within 75 s.
-TEST(Trouble, EveryAcceptedJobStaysKnown) {
+TEST(FaultTolerance, EveryAcceptedJobStaysKnown) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   std::vector<std::string> ids;
@@ -235,7 +235,7 @@
 }
 
 // A new leader has machines listed that have not found it yet: they are used, not returned.
-TEST(Trouble, NewLeaderReturnsNoMachineBeforeItCanHaveReported) {
+TEST(FaultTolerance, NewLeaderReturnsNoMachineBeforeItCanHaveReported) {
   SimulatedCluster w(1, 8);
   w.cloud.capacity = 8;
   ASSERT_TRUE(w.settle());
@@ -251,7 +251,7 @@
 }
 
 // A zone falls silent as a whole: what is rented meanwhile is rented elsewhere.
-TEST(Trouble, NothingIsRentedInAZoneThatIsCutOff) {
+TEST(FaultTolerance, NothingIsRentedInAZoneThatIsCutOff) {
   SimulatedCluster w(1, 8);
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 16, 120));
@@ -277,7 +277,7 @@
 
 // Half of the machines miss their reports together, for less than a lease: none of them is returned
 // for being the first to have been silent for long.
-TEST(Trouble, MachinesThatFallSilentTogetherAreKept) {
+TEST(FaultTolerance, MachinesThatFallSilentTogetherAreKept) {
   SimulatedCluster w(1, 8);
   w.cloud.capacity = 8;
   ASSERT_TRUE(w.settle());
@@ -296,7 +296,7 @@
 }
 
 // A new leader with several hundred open jobs places again within a quarter of a worker's lease.
-TEST(Trouble, NextLeaderOfManyJobsPlacesAgainSoon) {
+TEST(FaultTolerance, NextLeaderOfManyJobsPlacesAgainSoon) {
   SimulatedCluster w(1, 4);
   w.cloud.capacity = 4;  // 8 tasks at once; the rest waits
   ASSERT_TRUE(w.settle());
@@ -317,7 +317,7 @@
 
 // The state service, the cloud and workers answer with what is no answer: no process ends, and no
 // job is lost.
-TEST(Trouble, MalformedAnswersLoseNothing) {
+TEST(FaultTolerance, MalformedAnswersLoseNothing) {
   const std::vector<std::string> bodies{
       "",
       "{",
@@ -369,7 +369,7 @@
 
 // A job that was submitted with a mistake fails everywhere until it is cancelled: it shuts no
 // machine to the others, and is tried now and then with one task.
-TEST(Trouble, JobThatFailsEverywhereIsInNobodysWay) {
+TEST(FaultTolerance, JobThatFailsEverywhereIsInNobodysWay) {
   SimulatedCluster w(1, 4);
   w.cloud.capacity = 4;
   ASSERT_TRUE(w.settle());
@@ -392,7 +392,7 @@
 }
 
 // Small gangs come as fast as they end, with two that need most of the zone waiting.
-TEST(Trouble, LargeGangsAreNotStarvedBySmallOnes) {
+TEST(FaultTolerance, LargeGangsAreNotStarvedBySmallOnes) {
   SimulatedCluster w(1, 0);
   w.cloud.capacity = 4;
   for (int i = 0; i < 4; ++i) w.cloud.boot("big", "a", false, 10);
@@ -417,7 +417,7 @@
 
 // A leader whose timers come late has more to do than it can: it starts less often what would come
 // back to it as reports and records, so that time is left for its lease.
-TEST(Trouble, ABusyLeaderPlacesLessOften) {
+TEST(FaultTolerance, ABusyLeaderPlacesLessOften) {
   SimulatedCluster w(1, 8);
   ASSERT_TRUE(w.settle());
   constexpr Ms kLag = 800, kApart = 300;
@@ -443,7 +443,7 @@
 
 // Nobody leads, and users ask far more often than the store could answer: it is left free for what
 // they submit meanwhile, and for the next leader.
-TEST(Trouble, PollsWithoutALeaderLeaveTheStoreToSubmissions) {
+TEST(FaultTolerance, PollsWithoutALeaderLeaveTheStoreToSubmissions) {
   SimulatedCluster w(1, 4);
   ASSERT_TRUE(w.settle());
   for (int i = 0; i < 40; ++i)
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -232,7 +232,7 @@
   return job;
 }
 
-class Rollout : public ::testing::Test {
+class RollingUpgrade : public ::testing::Test {
  protected:
   // An array of `tasks` has been at work for so long.
   static bool begin_array(SimulatedCluster& w, std::uint32_t tasks, Ms at_work) {
@@ -267,7 +267,7 @@
   }
 };
 
-TEST_F(Rollout, SegmentsOnlyOnceAllSayThatTheyAreNew) {
+TEST_F(RollingUpgrade, SegmentsOnlyOnceAllSayThatTheyAreNew) {
   SimulatedCluster w(1, 6, kFalling, {"n0", "n1", "n2"});
   ASSERT_TRUE(w.settle());
   w.submit("n0", wide_job("wk-1", 100, 100));
@@ -294,7 +294,7 @@
 
 // Old follows new and new follows old, at each turn of the upgrade and back, with arrays, gangs and
 // cancelled jobs under way.
-TEST_F(Rollout, LeadershipChangesBetweenVersions) {
+TEST_F(RollingUpgrade, LeadershipChangesBetweenVersions) {
   for (const unsigned seed : {1U, 2U, 3U}) {
     SimulatedCluster w(seed, 6, kFalling, {"n0", "n1", "n2"});
     ASSERT_TRUE(w.settle());
@@ -320,7 +320,7 @@
 }
 
 // A leader ends after any transaction of the change of layout: the next one counts what is there.
-TEST_F(Rollout, EachStepFromChunksToSegmentsIsSafeToStopAfter) {
+TEST_F(RollingUpgrade, EachStepFromChunksToSegmentsIsSafeToStopAfter) {
   for (int stop_after = 1; stop_after <= 5; ++stop_after) {
     SimulatedCluster w(1, 8, kLargeRecords, {"n2"});
     ASSERT_TRUE(begin_array(w, 400, 40000));  // some are done, some at work
@@ -349,7 +349,7 @@
 
 // This version takes over from one in production: what is finished stays so, the tasks at work on
 // machines that nobody hears are not started again before they are surely off.
-TEST_F(Rollout, RecoversWhatProductionLeft) {
+TEST_F(RollingUpgrade, RecoversWhatProductionLeft) {
   for (const bool segments_first : {false, true}) {
     SimulatedCluster w(1, 10, kFalling, {"n0", "n1", "n2"});
     leave_production_records(w);
@@ -371,7 +371,7 @@
 
 // A former leader wrote a segment and did not get to delete the chunk: what the segment says
 // counts, and no attempt of the chunk is waited for.
-TEST_F(Rollout, ASegmentCountsBeforeTheChunk) {
+TEST_F(RollingUpgrade, ASegmentCountsBeforeTheChunk) {
   SimulatedCluster w(1, 10, kFalling);
   leave_production_records(w);
   leave_segments_in_use(w);
@@ -392,7 +392,7 @@
 
 // The limits fall at several moments after the last turn, with large records of the old layout
 // about: nothing stands still, and the leader keeps its lease.
-TEST_F(Rollout, LimitsFallWithoutNotice) {
+TEST_F(RollingUpgrade, LimitsFallWithoutNotice) {
   for (const Ms after : {0, 500, 3000, 15000}) {
     SimulatedCluster w(1, 8, kLargeRecords, {"n2"});
     ASSERT_TRUE(begin_array(w, 400, 20000));
@@ -416,7 +416,7 @@
   }
 }
 
-TEST_F(Rollout, LimitsFallDuringARecoveryOrAnElection) {
+TEST_F(RollingUpgrade, LimitsFallDuringARecoveryOrAnElection) {
   for (const Ms after : {100, 2500, 4500, 6000}) {
     SimulatedCluster w(1, 8, kLargeRecords, {"n2"});
     ASSERT_TRUE(begin_array(w, 200, 20000));
@@ -437,7 +437,7 @@
 
 // One peer can't be heard all along, and the limits fall: a value that is not taken says that the
 // upgrade is over.
-TEST_F(Rollout, LimitsFallWhileAPeerIsSilent) {
+TEST_F(RollingUpgrade, LimitsFallWhileAPeerIsSilent) {
   SimulatedCluster w(1, 8, kLargeRecords);
   w.kill("n2");
   ASSERT_TRUE(begin_array(w, 400, 20000));
@@ -451,7 +451,7 @@
 }
 
 // So does a submission with dependencies.
-TEST_F(Rollout, ADependencySaysThatTheUpgradeIsOver) {
+TEST_F(RollingUpgrade, ADependencySaysThatTheUpgradeIsOver) {
   SimulatedCluster w(1, 4, kFalling);
   w.kill("n2");
   ASSERT_TRUE(w.settle());
@@ -469,7 +469,7 @@
 
 // A record that can't be read may hold attempts that are at work: its job is neither started nor
 // called cancelled.
-TEST_F(Rollout, AnUnreadableRecordIsNotTakenForNone) {
+TEST_F(RollingUpgrade, AnUnreadableRecordIsNotTakenForNone) {
   SimulatedCluster w;
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 2, 300));
