--- a/src/leader/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -1,4 +1,4 @@
-#include "leader/attempt_tracker.h"
+#include "leader/attempts/attempt_tracker.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/leader/attempt_tracker.h
+++ b/src/leader/attempts/attempt_tracker.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "leader/audit_log.h"
-#include "leader/fleet.h"
+#include "leader/fleet/fleet.h"
 #include "leader/ids.h"
-#include "leader/job_record.h"
+#include "leader/jobs/job_record.h"
 #include "net/runtime.h"
 #include "sched/snapshot.h"
 #include "wire/types.h"
--- a/src/leader/audit_log.h
+++ b/src/leader/audit_log.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "leader/ids.h"
-#include "leader/record_layout.h"
+#include "leader/records/record_layout.h"
 #include "net/runtime.h"
 #include "state/client.h"
 #include "wire/types.h"
--- a/src/leader/election.cc
+++ b/src/leader/election/election.cc
@@ -1,4 +1,4 @@
-#include "leader/election.h"
+#include "leader/election/election.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/leader/fleet.cc
+++ b/src/leader/fleet/fleet.cc
@@ -1,4 +1,4 @@
-#include "leader/fleet.h"
+#include "leader/fleet/fleet.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/leader/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -1,4 +1,4 @@
-#include "leader/dependency_tracker.h"
+#include "leader/jobs/dependency_tracker.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/leader/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "leader/fleet.h"
+#include "leader/fleet/fleet.h"
 #include "leader/ids.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
--- a/src/leader/cluster_version.cc
+++ b/src/leader/records/cluster_version.cc
@@ -1,11 +1,11 @@
-#include "leader/cluster_version.h"
+#include "leader/records/cluster_version.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "leader/election.h"
+#include "leader/election/election.h"
 
 namespace seampass::leader {
 
--- a/src/leader/cluster_version.h
+++ b/src/leader/records/cluster_version.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "leader/record_layout.h"
+#include "leader/records/record_layout.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
 #include "state/client.h"
--- a/src/leader/record_store.cc
+++ b/src/leader/records/record_store.cc
@@ -1,4 +1,4 @@
-#include "leader/record_store.h"
+#include "leader/records/record_store.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,8 +6,8 @@
 
 #include "jobs/final_status.h"
 #include "leader/audit_log.h"
-#include "leader/election.h"
-#include "leader/task_record.h"
+#include "leader/election/election.h"
+#include "leader/records/task_record.h"
 
 namespace seampass::leader {
 
--- a/src/leader/record_store.h
+++ b/src/leader/records/record_store.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "leader/record_layout.h"
+#include "leader/records/record_layout.h"
 #include "net/runtime.h"
 #include "state/client.h"
 #include "wire/types.h"
--- a/src/leader/task_record.cc
+++ b/src/leader/records/task_record.cc
@@ -1,4 +1,4 @@
-#include "leader/task_record.h"
+#include "leader/records/task_record.h"
 
 #include <charconv>
 #include <limits>
--- a/src/leader/task_record.h
+++ b/src/leader/records/task_record.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "leader/record_layout.h"
+#include "leader/records/record_layout.h"
 #include "sched/snapshot.h"
 #include "wire/codec.h"
 
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -1,5 +1,5 @@
 // The tracker of attempts beside a plain list of them, and the proofs that one is off its machine.
-#include "leader/attempt_tracker.h"
+#include "leader/attempts/attempt_tracker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -8,7 +8,7 @@
 
 #include "jobs/final_status.h"
 #include "leader/controller.h"
-#include "leader/task_record.h"
+#include "leader/records/task_record.h"
 
 namespace seampass {
 namespace {
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -1,10 +1,10 @@
-#include "leader/record_store.h"
+#include "leader/records/record_store.h"
 
 #include <gtest/gtest.h>
 
 #include "fakes/sim.h"
 #include "fakes/state_service.h"
-#include "leader/election.h"
+#include "leader/election/election.h"
 
 namespace seampass::leader {
 namespace {
