--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -40,9 +40,9 @@
       // A few hundred bytes a final status: an eighth of the memory at most.
       status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
       election_(
-          runtime, state_, settings_.node, times_of(settings_), [this] { controller_.begin(); },
-          [this] { controller_.stop(); }, settings_.peers.size(),
-          [this, &peers](std::uint64_t round) { announce(peers, round); }),
+          runtime, state_, settings_.node, times_of(settings_),
+          [this] { controller_.start_term(); }, [this] { controller_.end_term(); },
+          settings_.peers.size(), [this, &peers](std::uint64_t round) { announce(peers, round); }),
       cluster_(runtime, state_, settings_.peers, spans_of(settings_),
                ms(settings_.heartbeat_interval_s / 10)),
       controller_(runtime, state_, cloud_, catalog_,
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -41,7 +41,7 @@
       peers_(peers),
       settings_(settings) {
   peers_.on_receive([this](const std::string& from, const rpc::Envelope& envelope) {
-    cluster_.note_peer(from, envelope.version);
+    cluster_.record_peer_version(from, envelope.version);
     receive(from, envelope.message);
   });
 }
@@ -93,12 +93,12 @@
         *v, status_reader_.written(id) ? AnswerBasis::cache_written : AnswerBasis::cache_derived);
     return reply(known);
   }
-  const auto found = [known, reply](JobStatusReader::Found result, const wire::JobStatus& s,
+  const auto found = [known, reply](JobStatusReader::Lookup result, const wire::JobStatus& s,
                                     const state::Item&) mutable {
     known.status = s;
-    if (result != JobStatusReader::Found::cannot) audit::answer(s, AnswerBasis::store);
-    if (result == JobStatusReader::Found::none) known.lookup = rpc::Lookup::not_found;
-    if (result == JobStatusReader::Found::cannot) known.lookup = rpc::Lookup::unavailable;
+    if (result != JobStatusReader::Lookup::unavailable) audit::answer(s, AnswerBasis::store);
+    if (result == JobStatusReader::Lookup::not_found) known.lookup = rpc::Lookup::not_found;
+    if (result == JobStatusReader::Lookup::unavailable) known.lookup = rpc::Lookup::unavailable;
     reply(known);
   };
   ask_leader({0, id, false, ""}, net::ms(settings_.heartbeat_interval_s / 5),
@@ -141,7 +141,7 @@
   if (!election_.leading()) return answer({421, wire::redirect_answer(election_.leader()), 0});
   try {
     const wire::Heartbeat report = wire::heartbeat_from(request.body);
-    auto r = controller_.heartbeat(report);
+    auto r = controller_.handle_heartbeat(report);
     answer({r.status, std::move(r.body), 0, report.tasks.empty()});
   } catch (const wire::Malformed& e) {
     answer(refusal(400, e.what()));
@@ -149,7 +149,8 @@
 }
 
 void ApiHandler::ask_leader(rpc::JobRequest ask, Ms timeout, Reply reply) {
-  if (election_.leading()) return controller_.ask(ask.id, ask.cancel, std::move(reply));
+  if (election_.leading())
+    return controller_.handle_job_request(ask.id, ask.cancel, std::move(reply));
   const std::string node = election_.leader();
   if (node.empty() || asks_.size() >= kMaxAsks) return reply({});
   const std::uint64_t number = ask.number = next_++;
@@ -172,7 +173,8 @@
   if (const auto* accepted = std::get_if<rpc::JobAccepted>(&message)) {
     if (!election_.leading()) return;
     const Json record = Json::parse(accepted->record, nullptr, false);
-    if (!record.is_discarded()) controller_.on_accepted(accepted->id, record, accepted->version);
+    if (!record.is_discarded())
+      controller_.on_job_accepted(accepted->id, record, accepted->version);
   } else if (const auto* ask = std::get_if<rpc::JobRequest>(&message)) {
     const std::uint64_t number = ask->number;
     const auto reply = [this, from, number](rpc::JobReply a) {
@@ -185,7 +187,7 @@
       if (record.is_discarded()) return reply({});
       return accept(ask->id, record, false, reply);
     }
-    controller_.ask(ask->id, ask->cancel, reply);
+    controller_.handle_job_request(ask->id, ask->cancel, reply);
   } else if (const auto* leads = std::get_if<rpc::LeaderAnnouncement>(&message)) {
     election_.on_leader_announced(from, leads->epoch);
     if (leads->round != 0)
--- a/src/jobs/job_status_reader.cc
+++ b/src/jobs/job_status_reader.cc
@@ -52,23 +52,23 @@
 }
 
 void JobStatusReader::query(const std::string& job, const Done& done) {
-  if (const auto known = final_status(job)) return done(Found::ended, *known, {});
-  if (!state_.admit_query()) return done(Found::cannot, {}, {});
+  if (const auto known = final_status(job)) return done(Lookup::ended, *known, {});
+  if (!state_.admit_query()) return done(Lookup::unavailable, {}, {});
   read_open(job, Purpose::query, done);
 }
 
 void JobStatusReader::read(const std::string& job, const Done& done) {
-  if (const auto known = final_status(job)) return done(Found::ended, *known, {});
+  if (const auto known = final_status(job)) return done(Lookup::ended, *known, {});
   read_open(job, Purpose::other, done);
 }
 
 // (A job that is not in `ends/` may have moved there since its `open/` was listed, or may be open:
 // then both are read, in the order that misses nothing.)
 void JobStatusReader::read_ended(const std::string& job, Done done) {
-  if (const auto known = final_status(job)) return done(Found::ended, *known, {});
-  read_final(job, [this, job, done = std::move(done)](Found found, const wire::JobStatus& status,
+  if (const auto known = final_status(job)) return done(Lookup::ended, *known, {});
+  read_final(job, [this, job, done = std::move(done)](Lookup found, const wire::JobStatus& status,
                                                       const state::Item& item) {
-    if (found == Found::none) return read_open(job, Purpose::other, done);
+    if (found == Lookup::not_found) return read_open(job, Purpose::other, done);
     done(found, status, item);
   });
 }
@@ -111,14 +111,14 @@
     if (open.outcome == Outcome::missing) return read_final(job, otherwise);
     wire::JobStatus status;
     status.id = job;
-    if (open.outcome != Outcome::ok) return otherwise(Found::cannot, status, {});
+    if (open.outcome != Outcome::ok) return otherwise(Lookup::unavailable, status, {});
     std::vector<std::string> dependencies;
     try {
       dependencies = dependencies_of(open.item);
     } catch (const std::exception& error) {
       // An unreadable record is no answer.
       spdlog::error("unreadable record {}: {}", open.item.key, error.what());
-      return otherwise(Found::cannot, status, {});
+      return otherwise(Lookup::unavailable, status, {});
     }
     on_open(open.item, dependencies);
   });
@@ -128,8 +128,8 @@
   state_.get("ends/" + job, [this, job, done = std::move(done)](const state::GetResult& ends) {
     wire::JobStatus status;
     status.id = job;
-    if (ends.outcome == Outcome::missing) return done(Found::none, status, {});
-    if (ends.outcome != Outcome::ok) return done(Found::cannot, status, {});
+    if (ends.outcome == Outcome::missing) return done(Lookup::not_found, status, {});
+    if (ends.outcome != Outcome::ok) return done(Lookup::unavailable, status, {});
     try {
       const FinalStatus final_status = decode_final_status(ends.item.value);
       status.stage = final_status.stage;
@@ -137,10 +137,10 @@
     } catch (const wire::Malformed& error) {
       // An unreadable record is no answer, and what depends on the job waits.
       spdlog::error("unreadable record {}: {}", ends.item.key, error.what());
-      return done(Found::cannot, status, {});
+      return done(Lookup::unavailable, status, {});
     }
     remember(status, Source::written);
-    done(Found::ended, status, {});
+    done(Lookup::ended, status, {});
   });
 }
 
@@ -153,23 +153,23 @@
       if (known->stage != Stage::cancelled) continue;
       walk->status.stage = Stage::cancelled;
       remember(walk->status, Source::derived);
-      return walk->done(Found::ended, walk->status, {});
+      return walk->done(Lookup::ended, walk->status, {});
     }
     const bool admitted = walk->purpose == Purpose::other || state_.admit_query();
     if (!admitted || ++walk->reads > kMostUpstreamReads)
-      return walk->done(Found::cannot, walk->status, {});
+      return walk->done(Lookup::unavailable, walk->status, {});
     const auto on_open = [this, walk](const state::Item&,
                                       const std::vector<std::string>& dependencies) {
       walk->add(dependencies);
       walk_upstream(walk);
     };
-    return read_record(job, on_open, [this, walk, job](Found found, const auto&, const auto&) {
-      if (found != Found::ended) return walk->done(Found::cannot, walk->status, {});
+    return read_record(job, on_open, [this, walk, job](Lookup found, const auto&, const auto&) {
+      if (found != Lookup::ended) return walk->done(Lookup::unavailable, walk->status, {});
       walk->next.push_back(job);  // it is in the cache now
       walk_upstream(walk);
     });
   }
-  walk->done(Found::open, walk->status, walk->open);
+  walk->done(Lookup::open, walk->status, walk->open);
 }
 
 }  // namespace seampass::jobs
--- a/src/jobs/job_status_reader.h
+++ b/src/jobs/job_status_reader.h
@@ -19,7 +19,7 @@
  public:
   // `open` is said only of a job none of whose dependencies, direct or not, was read as cancelled:
   // such a job counts as cancelled itself, whether that is written or not.
-  enum class Found { ended, open, none, cannot };
+  enum class Lookup { ended, open, not_found, unavailable };
 
   JobStatusReader(state::Client& state, std::size_t most) : state_(state), most_(most) {}
 
@@ -33,7 +33,7 @@
   bool written(const std::string& job) const;
   void remember(const wire::JobStatus& status, Source source);
 
-  using Done = std::function<void(Found, const wire::JobStatus&, const state::Item& open)>;
+  using Done = std::function<void(Lookup, const wire::JobStatus&, const state::Item& open)>;
 
   // For a status query: `cannot` at once if the state service has nothing left for it.
   void query(const std::string& job, const Done& done);
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -83,10 +83,10 @@
 
 // A job that was accepted once stays so, whatever the settings, types or other jobs say by now.
 void ApiHandler::refuse(const std::string& id, const std::string& why, const Answer& answer) {
-  status_reader_.read(id, [answer, why](JobStatusReader::Found found, const wire::JobStatus& status,
-                                        const state::Item&) {
-    if (found == JobStatusReader::Found::cannot) return answer(later("state not available"));
-    if (found == JobStatusReader::Found::none) return answer(refusal(422, why));
+  status_reader_.read(id, [answer, why](JobStatusReader::Lookup found,
+                                        const wire::JobStatus& status, const state::Item&) {
+    if (found == JobStatusReader::Lookup::unavailable) return answer(later("state not available"));
+    if (found == JobStatusReader::Lookup::not_found) return answer(refusal(422, why));
     answer({200, wire::accepted_json(status), 0});
   });
 }
@@ -142,7 +142,7 @@
                a.fresh = true;
                reply(a);
                if (election_.leading())
-                 controller_.on_accepted(id, record, t.revision);
+                 controller_.on_job_accepted(id, record, t.revision);
                else if (!election_.leader().empty())
                  peers_.send(election_.leader(), rpc::JobAccepted{id, record.dump(), t.revision});
              });
--- a/src/leader/attempts/absence.cc
+++ b/src/leader/attempts/absence.cc
@@ -18,7 +18,7 @@
     inspected->inspecting = false;
     if (!report || report->machine != name) return on_command_unanswered(*inspected);
     if (report->token > election_.epoch())
-      return election_.lost(audit::Deposed::worker_shows_higher_epoch);
+      return election_.step_down(audit::StepDownReason::worker_shows_higher_epoch);
     on_inspection(*inspected, *report, asked);
   });
 }
--- a/src/leader/attempts/attempts.cc
+++ b/src/leader/attempts/attempts.cc
@@ -50,7 +50,7 @@
   }
   for (const std::string& id : jobs) {
     if (JobRecord* job = find_job(id)) lost_attempt(*job);
-    if (JobRecord* job = find_job(id)) maybe_done(*job);
+    if (JobRecord* job = find_job(id)) conclude_if_complete(*job);
   }
 }
 
@@ -84,7 +84,7 @@
   }
 }
 
-void Controller::machine_gone(Machine& machine, audit::AbsenceProof proof) {
+void Controller::release_machine(Machine& machine, audit::AbsenceProof proof) {
   std::vector<TaskAttempt*> lost;
   for (const auto& [task, attempt] : machine.attempts) lost.push_back(attempt);
   release_lost(lost, proof);
@@ -92,7 +92,7 @@
 
 // Its place in the snapshot is free for another.
 void Controller::forget_machine(Machine& machine) {
-  machine_gone(machine, audit::AbsenceProof::machine_deleted);
+  release_machine(machine, audit::AbsenceProof::machine_deleted);
   if (machine.slot == Machine::kNoSlot) return;
   snapshot_.machines[machine.slot] = {};
   free_slots_.push_back(machine.slot);
@@ -161,7 +161,7 @@
   } else if (job.spec.kind != wire::JobKind::service) {
     finish_task(job, attempt.task);
   }
-  maybe_done(job);
+  conclude_if_complete(job);
   release(attempt);
 }
 
--- a/src/leader/audit_log.cc
+++ b/src/leader/audit_log.cc
@@ -8,17 +8,17 @@
 
 namespace {
 
-const char* name_of(Deposed why) {
+const char* name_of(StepDownReason why) {
   switch (why) {
-    case Deposed::lease_ended:
+    case StepDownReason::lease_ended:
       return "its lease ended";
-    case Deposed::worker_shows_higher_epoch:
+    case StepDownReason::worker_shows_higher_epoch:
       return "a worker shows a higher epoch";
-    case Deposed::peer_shows_higher_epoch:
+    case StepDownReason::peer_shows_higher_epoch:
       return "a peer shows a higher epoch";
-    case Deposed::fenced:
+    case StepDownReason::fenced:
       return "a transaction was fenced";
-    case Deposed::resigned:
+    case StepDownReason::resigned:
       return "it resigned, no worker is heard";
   }
   return "?";
@@ -74,7 +74,7 @@
 
 void elected(std::uint64_t epoch) { spdlog::info("leading, epoch {}", epoch); }
 
-void deposed(std::uint64_t epoch, Deposed why, net::Ms since_grant) {
+void stepped_down(std::uint64_t epoch, StepDownReason why, net::Ms since_grant) {
   spdlog::info("no longer leading, epoch {}: {}; lease granted {} ms ago", epoch, name_of(why),
                since_grant);
 }
--- a/src/leader/audit_log.h
+++ b/src/leader/audit_log.h
@@ -16,7 +16,7 @@
 namespace seampass::leader::audit {
 
 // Why a controller stopped leading.
-enum class Deposed {
+enum class StepDownReason {
   lease_ended,
   worker_shows_higher_epoch,
   peer_shows_higher_epoch,
@@ -32,7 +32,7 @@
 
 // Info: rare, one line each.
 void elected(std::uint64_t epoch);
-void deposed(std::uint64_t epoch, Deposed why, net::Ms since_grant);
+void stepped_down(std::uint64_t epoch, StepDownReason why, net::Ms since_grant);
 void renewal_failed(std::uint64_t epoch, net::Ms since_grant);
 void extended_by_peers(std::uint64_t epoch, net::Ms since_grant);
 void recovery_ended(std::uint64_t epoch, state::Version listed, std::size_t open_jobs,
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -28,7 +28,7 @@
       records_(
           runtime, state, settings.least_state_limits(),
           {[this](const std::string& id, const RecordId& record) { return render(id, record); },
-           [this] { election_.lost(audit::Deposed::fenced); },
+           [this] { election_.step_down(audit::StepDownReason::fenced); },
            [this](const std::string& id, wire::Stage stage) { on_ended(id, stage); },
            [this] { cluster_.finalize(); }}),
       fleet_(runtime, cloud, catalog, settings, operator_settings,
@@ -40,7 +40,7 @@
                      },
                      [this](const std::string& id) { cancel_dependent(id); },
                      [this](const std::string& id, const state::Item& open) {
-                       accepted(id, open.value, open.version);
+                       apply_open_record(id, open.value, open.version);
                      }}),
       attempts_(runtime) {
   for (const config::ServiceLevelObjective& o : settings.objectives) {
@@ -51,23 +51,23 @@
   }
 }
 
-void Controller::begin() {
-  stop();
+void Controller::start_term() {
+  end_term();
   active_ = true;
   began_ = waited_ = ticked_ = load_logged_ = runtime_.now();
   isolated_ticks_ = 0;
   audit::elected(election_.epoch());
-  records_.begin(election_.epoch());
-  fleet_.begin(election_.epoch());
+  records_.start_term(election_.epoch());
+  fleet_.start_term(election_.epoch());
   layout_.use(Layout::chunks, cluster_.spans());
   // Records are read once it is known in which layouts they may be.
-  cluster_.begin(election_.epoch(),
-                 {[this] { load("open/", "", true); }, [this] { use_segments(); },
-                  [this] { election_.lost(audit::Deposed::fenced); }});
+  cluster_.start_term(election_.epoch(),
+                      {[this] { list_records("open/", "", true); }, [this] { use_segments(); },
+                       [this] { election_.step_down(audit::StepDownReason::fenced); }});
   tick();
 }
 
-void Controller::stop() {
+void Controller::end_term() {
   ++term_;
   active_ = loaded_ = pass_requested_ = false;
   listed_ = 0;
@@ -81,11 +81,11 @@
   for (auto& [job_class, a] : arrivals_) a.recent.clear();
   collected_.clear();
   collected_job_.clear();
-  cluster_.stop();
-  dependencies_.stop();
-  records_.stop();
-  fleet_.stop();
-  workers_.stop();
+  cluster_.end_term();
+  dependencies_.end_term();
+  records_.end_term();
+  fleet_.end_term();
+  workers_.drop_queued();
 }
 
 // ---- Jobs ----
@@ -101,11 +101,13 @@
 
 // A job that was accepted before the listing is in it, or has ended under a former leader: news of
 // it is a late copy, and would bring it back. (Without the news the watch tells of it.)
-void Controller::on_accepted(const std::string& id, const Json& record, state::Version version) {
-  if (listed_ != 0 && version > listed_) accepted(id, record, version);
+void Controller::on_job_accepted(const std::string& id, const Json& record,
+                                 state::Version version) {
+  if (listed_ != 0 && version > listed_) apply_open_record(id, record, version);
 }
 
-void Controller::accepted(const std::string& id, const Json& record, state::Version version) {
+void Controller::apply_open_record(const std::string& id, const Json& record,
+                                   state::Version version) {
   if (!active_ || jobs_.contains(id)) return;
   // News of an acceptance can be older than the job's end. (A final status that has left this cache
   // is still found: the transaction that would assign its tasks compares ends/<id>. One that
@@ -130,12 +132,12 @@
   // Nobody submits such a job before all controllers are new.
   if (!added.spec.dependencies.empty()) cluster_.finalize();
   dependencies_.add(added.spec);
-  if (dependencies_.graph().ready(id)) note_arrival(added);
+  if (dependencies_.graph().ready(id)) record_arrival(added);
   request_pass();
 }
 
 // Jobs recovered together came at their own times.
-void Controller::note_arrival(const JobRecord& job) {
+void Controller::record_arrival(const JobRecord& job) {
   const auto aim = arrivals_.find(job.spec.job_class);
   if (aim == arrivals_.end()) return;
   const Ms age = std::max<Ms>(0, runtime_.wall() - job.ready_ms);
@@ -156,8 +158,8 @@
   return a;
 }
 
-void Controller::ask(const std::string& id, bool cancel,
-                     std::function<void(const rpc::JobReply&)> reply) {
+void Controller::handle_job_request(const std::string& id, bool cancel,
+                                    std::function<void(const rpc::JobReply&)> reply) {
   if (!ready()) return reply({});
   const auto it = jobs_.find(id);
   // A job recovered after its end has no stage here; its final status is read.
@@ -181,19 +183,19 @@
   }
   const std::uint64_t term = term_;
   const auto found = [this, term, id, cancel, reply = std::move(reply)](
-                         jobs::JobStatusReader::Found result, const wire::JobStatus& status,
+                         jobs::JobStatusReader::Lookup result, const wire::JobStatus& status,
                          const state::Item& open) {
     rpc::JobReply a;
-    if (term != term_ || !ready() || result == jobs::JobStatusReader::Found::cannot)
+    if (term != term_ || !ready() || result == jobs::JobStatusReader::Lookup::unavailable)
       return reply(a);
     a.status = status;
-    a.lookup =
-        result == jobs::JobStatusReader::Found::none ? rpc::Lookup::not_found : rpc::Lookup::found;
-    if (result != jobs::JobStatusReader::Found::open) return reply(a);
+    a.lookup = result == jobs::JobStatusReader::Lookup::not_found ? rpc::Lookup::not_found
+                                                                  : rpc::Lookup::found;
+    if (result != jobs::JobStatusReader::Lookup::open) return reply(a);
     // Accepted, and the news had not come yet.
-    accepted(id, open.value, open.version);
+    apply_open_record(id, open.value, open.version);
     if (!jobs_.contains(id)) return reply({});
-    ask(id, cancel, reply);
+    handle_job_request(id, cancel, reply);
   };
   if (cancel) return status_reader_.read(id, found);
   status_reader_.query(id, found);
@@ -217,9 +219,9 @@
   const bool done = job.finished_count == job.spec.tasks;
   // What is cancelled with another follows from that one's end: nobody waits for its own.
   const Urgency urgency = upstream_cancelled(job) ? Urgency::progress : Urgency::final_status;
-  records_.end(id, job.open_version, done ? wire::Stage::done : wire::Stage::cancelled,
-               job.finished_count, urgency,
-               [this, id](wire::Stage actual) { on_ended(id, actual); });
+  records_.write_final_status(id, job.open_version,
+                              done ? wire::Stage::done : wire::Stage::cancelled, job.finished_count,
+                              urgency, [this, id](wire::Stage actual) { on_ended(id, actual); });
 }
 
 void Controller::on_ended(const std::string& id, wire::Stage stage) {
@@ -235,7 +237,7 @@
   erase_if_settled(id);
   // Only now that it is durable: the next leader must not find a dependent at work on a job that it
   // does not know to be done, or queued behind one that is cancelled.
-  dependencies_.ended(id, stage);
+  dependencies_.on_final_status(id, stage);
   request_pass();
 }
 
@@ -253,7 +255,7 @@
     jobs_.erase(id);
   };
   for (const RecordId& record : records_.records(id))
-    records_.changed(id, record, Urgency::progress, erase);
+    records_.write(id, record, Urgency::progress, erase);
   erase();
 }
 
@@ -263,7 +265,7 @@
   ++job.finished_count;
 }
 
-void Controller::maybe_done(JobRecord& job) {
+void Controller::conclude_if_complete(JobRecord& job) {
   if (!job.concluding && job.finished_count == job.spec.tasks) conclude(job);
 }
 
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -37,7 +37,7 @@
 
 namespace seampass::leader {
 
-struct HeartbeatAnswer {
+struct HeartbeatReply {
   int status = 503;
   std::string body;
 };
@@ -49,14 +49,15 @@
              jobs::JobStatusReader& status_reader, ClusterVersion& cluster,
              const config::Settings& settings, const config::OperatorSettings& operator_settings);
 
-  void begin();
-  void stop();
+  void start_term();
+  void end_term();
 
-  HeartbeatAnswer heartbeat(const wire::Heartbeat& report);
+  HeartbeatReply handle_heartbeat(const wire::Heartbeat& report);
   // News that a job was accepted, from this node or another.
-  void on_accepted(const std::string& id, const wire::Json& record, state::Version version);
+  void on_job_accepted(const std::string& id, const wire::Json& record, state::Version version);
   // A poll or a cancellation; `cannot` unless the lease surely holds.
-  void ask(const std::string& id, bool cancel, std::function<void(const rpc::JobReply&)> reply);
+  void handle_job_request(const std::string& id, bool cancel,
+                          std::function<void(const rpc::JobReply&)> reply);
 
   static wire::Json open_record(const wire::Job& job, std::int64_t created_ms);
 
@@ -64,10 +65,10 @@
   bool ready() const { return loaded_ && election_.holds(); }
 
   // Recovery: recovery.cc.
-  void load(const std::string& prefix, const std::string& after, bool first);
-  void recovered();
-  void take_record(const state::Item& item);
-  void take_collected();
+  void list_records(const std::string& prefix, const std::string& after, bool first);
+  void complete_recovery();
+  void collect_record(const state::Item& item);
+  void apply_collected_records();
   JobRecord& ended_job(const std::string& id, const TaskRecord& record);
   // `covered`: by task, whether a newer record tells of it.
   void apply_record(JobRecord& job, const TaskRecord& record, const std::vector<bool>& covered);
@@ -94,12 +95,12 @@
 
   // Jobs.
   JobRecord* find_job(const std::string& id) const;
-  void accepted(const std::string& id, const wire::Json& record, state::Version version);
+  void apply_open_record(const std::string& id, const wire::Json& record, state::Version version);
   static void finish_task(JobRecord& job, std::uint32_t task);
-  void maybe_done(JobRecord& job);
+  void conclude_if_complete(JobRecord& job);
   void cancel_job(JobRecord& job);
   void conclude(JobRecord& job);
-  void note_arrival(const JobRecord& job);
+  void record_arrival(const JobRecord& job);
   void on_ended(const std::string& id, wire::Stage stage);
   void erase_if_settled(const std::string& id);
   rpc::JobReply status_of(const JobRecord& job) const;
@@ -113,7 +114,7 @@
   void stop_to_save(TaskAttempt& attempt, audit::StopReason why);
   void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why,
                 bool again = false);
-  void machine_gone(Machine& machine, audit::AbsenceProof proof);
+  void release_machine(Machine& machine, audit::AbsenceProof proof);
   void forget_machine(Machine& machine);
   void record_failure(JobRecord& job, Machine& machine);
   void task_exited(TaskAttempt& attempt, const wire::TaskStatus& report);
@@ -123,7 +124,7 @@
   void reconcile(Machine& machine, const wire::Heartbeat& report, bool heartbeat);
   void update_machine_state(Machine& machine, const wire::Heartbeat& report);
   TaskAttempt* adopt(Machine& machine, const AttemptId& id);
-  void take_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited);
+  void apply_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited);
   bool may_forget(const Machine& machine, const wire::TaskStatus& task) const;
   std::vector<wire::Command> commands_for(Machine& machine, const wire::Heartbeat& report);
   void append_starts(Machine& machine, const std::set<TaskId>& reported,
--- a/src/leader/election/election.cc
+++ b/src/leader/election/election.cc
@@ -31,15 +31,15 @@
 }  // namespace
 
 Election::Election(net::Runtime& runtime, state::Client& state, std::string node,
-                   ElectionTimes times, std::function<void()> elected,
-                   std::function<void()> deposed, std::size_t peers,
+                   ElectionTimes times, std::function<void()> on_elected,
+                   std::function<void()> on_step_down, std::size_t peers,
                    std::function<void(std::uint64_t)> announce)
     : runtime_(runtime),
       state_(state),
       node_(std::move(node)),
       times_(times),
-      elected_(std::move(elected)),
-      deposed_(std::move(deposed)),
+      on_elected_(std::move(on_elected)),
+      on_step_down_(std::move(on_step_down)),
       peers_(peers),
       announce_(std::move(announce)) {}
 
@@ -81,7 +81,7 @@
           // A former self, which is dead (or a try whose answer was lost): what is left of it is
           // fenced by the version once the key is gone.
           if (r.item.lease == 0) return retry([this] { read(); });
-          return state_.end(r.item.lease, [this, term](Outcome) {
+          return state_.revoke_lease(r.item.lease, [this, term](Outcome) {
             if (term == term_) retry([this] { read(); });
           });
         }
@@ -127,7 +127,7 @@
   yielded_once_ = false;
   const std::uint64_t term = ++term_;
   granted_ = runtime_.now();
-  state_.grant(times_.ttl, [this, term](const state::LeaseResult& g) {
+  state_.grant_lease(times_.ttl, [this, term](const state::LeaseResult& g) {
     if (term != term_) return;
     if (g.outcome != Outcome::ok) return retry([this] { read(); });
     lease_ = g.lease;
@@ -139,7 +139,7 @@
       if (t.outcome == Outcome::ok) return become_leader(t.revision);
       // Lost, or not known: give this lease up, so that a late copy of the transaction either
       // fails or makes a key that goes with its lease.
-      state_.end(lease_, [](Outcome) {});
+      state_.revoke_lease(lease_, [](Outcome) {});
       if (t.outcome == Outcome::conflict) return read();
       retry([this] { read(); });
     });
@@ -157,7 +157,7 @@
   highest_known_epoch_ = epoch;
   confirmed_at_ = 0;
   renewal_failed_ = extended_ = false;
-  elected_();
+  on_elected_();
   announce_(0);
 }
 
@@ -167,7 +167,7 @@
 void Election::renew() {
   const std::uint64_t term = term_;
   const net::Ms sent = runtime_.now();
-  state_.renew(lease_, times_.ttl / kRenewalTimeout, [this, term, sent](Outcome outcome) {
+  state_.renew_lease(lease_, times_.ttl / kRenewalTimeout, [this, term, sent](Outcome outcome) {
     if (term == term_) take_renewal(outcome, sent);
   });
   runtime_.after(times_.ttl / (renewal_failed_ ? kRetries : kRenewals), [this, term] {
@@ -176,7 +176,7 @@
 }
 
 void Election::take_renewal(Outcome outcome, net::Ms sent) {
-  if (outcome == Outcome::missing) return lost(audit::Deposed::lease_ended);
+  if (outcome == Outcome::missing) return step_down(audit::StepDownReason::lease_ended);
   if (outcome == Outcome::ok) {
     granted_ = std::max(granted_, sent);
     renewal_failed_ = extended_ = false;
@@ -193,7 +193,7 @@
 void Election::on_confirmation(const std::string& node, std::uint64_t round, std::uint64_t epoch,
                                net::Ms up_ms) {
   if (!leading_) return;
-  if (epoch > epoch_) return lost(audit::Deposed::peer_shows_higher_epoch);
+  if (epoch > epoch_) return step_down(audit::StepDownReason::peer_shows_higher_epoch);
   // Whoever was asked in this term knows of it: this is a late copy of a word given in an earlier
   // one, by a round that may have had the same number.
   if (epoch < epoch_) return;
@@ -212,7 +212,7 @@
 void Election::on_leader_announced(const std::string& node, std::uint64_t epoch) {
   if (epoch <= highest_known_epoch_) return;
   highest_known_epoch_ = epoch;
-  if (leading_) lost(audit::Deposed::peer_shows_higher_epoch);
+  if (leading_) step_down(audit::StepDownReason::peer_shows_higher_epoch);
   leader_ = node;
 }
 
@@ -220,17 +220,17 @@
   const net::Ms now = runtime_.now();
   if (!leading_ || (resigned_ && now - *resigned_ < times_.between_resignations)) return false;
   resigned_ = now;
-  state_.end(lease_, [](Outcome) {});
-  lost(audit::Deposed::resigned);
+  state_.revoke_lease(lease_, [](Outcome) {});
+  step_down(audit::StepDownReason::resigned);
   return true;
 }
 
-void Election::lost(audit::Deposed why) {
+void Election::step_down(audit::StepDownReason why) {
   if (!leading_) return;
-  audit::deposed(epoch_, why, since_grant());
+  audit::stepped_down(epoch_, why, since_grant());
   leading_ = false;
   leader_.clear();
-  deposed_();
+  on_step_down_();
   read();
 }
 
--- a/src/leader/election/election.h
+++ b/src/leader/election/election.h
@@ -25,7 +25,7 @@
 class Election {
  public:
   Election(net::Runtime& runtime, state::Client& state, std::string node, ElectionTimes times,
-           std::function<void()> elected, std::function<void()> deposed, std::size_t peers,
+           std::function<void()> on_elected, std::function<void()> on_step_down, std::size_t peers,
            std::function<void(std::uint64_t round)> announce);
 
   void start();
@@ -46,7 +46,7 @@
   // A worker's report has come to this node, whether it leads or not.
   void on_worker_heard() { worker_heard_at_ = runtime_.now(); }
   // Somebody learned that another has taken over, or may have.
-  void lost(audit::Deposed why);
+  void step_down(audit::StepDownReason why);
   // What another node knows, in answer to an announcement with a round.
   void on_confirmation(const std::string& node, std::uint64_t round, std::uint64_t epoch,
                        net::Ms up_ms);
@@ -71,7 +71,7 @@
   state::Client& state_;
   std::string node_;
   ElectionTimes times_;
-  std::function<void()> elected_, deposed_;
+  std::function<void()> on_elected_, on_step_down_;
   std::size_t peers_;
   std::function<void(std::uint64_t)> announce_;
 
--- a/src/leader/fleet/fleet.cc
+++ b/src/leader/fleet/fleet.cc
@@ -29,14 +29,14 @@
       operator_settings_(operator_settings),
       gone_(std::move(gone)) {}
 
-void Fleet::begin(std::uint64_t epoch) {
-  stop();
+void Fleet::start_term(std::uint64_t epoch) {
+  end_term();
   epoch_ = epoch;
   began_ = runtime_.now();
   poll_list("");
 }
 
-void Fleet::stop() {
+void Fleet::end_term() {
   epoch_ = 0;
   machines_.clear();
   to_delete_.clear();
--- a/src/leader/fleet/fleet.h
+++ b/src/leader/fleet/fleet.h
@@ -79,8 +79,8 @@
         const config::Settings& settings, const config::OperatorSettings& operator_settings,
         std::function<void(Machine&)> gone);
 
-  void begin(std::uint64_t epoch);
-  void stop();
+  void start_term(std::uint64_t epoch);
+  void end_term();
   bool active() const { return epoch_ != 0; }
 
   Machine* find(const std::string& name);
--- a/src/leader/jobs/dependencies.cc
+++ b/src/leader/jobs/dependencies.cc
@@ -12,7 +12,7 @@
   if (!job) return;
   job->ready_ms = runtime_.wall();
   audit::ready(id, dependency);
-  note_arrival(*job);
+  record_arrival(*job);
   request_pass();
 }
 
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -7,13 +7,13 @@
 
 namespace seampass::leader {
 
-using Found = jobs::JobStatusReader::Found;
+using Lookup = jobs::JobStatusReader::Lookup;
 
 DependencyTracker::DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader,
                                      net::Ms retry, Hooks hooks)
     : runtime_(runtime), status_reader_(status_reader), retry_(retry), hooks_(std::move(hooks)) {}
 
-void DependencyTracker::stop() {
+void DependencyTracker::end_term() {
   ++term_;
   listed_ = false;
   graph_.clear();
@@ -25,12 +25,12 @@
   if (listed_) read_unknown();
 }
 
-void DependencyTracker::listed() {
+void DependencyTracker::complete_listing() {
   listed_ = true;
   read_unknown();
 }
 
-void DependencyTracker::ended(const std::string& job, wire::Stage stage) {
+void DependencyTracker::on_final_status(const std::string& job, wire::Stage stage) {
   apply(job, stage == wire::Stage::done ? graph_.finish(job) : graph_.cancel(job));
 }
 
@@ -52,18 +52,18 @@
 // Neither done nor cancelled until the store says so: whatever depends on it waits.
 void DependencyTracker::read(const std::string& job) {
   status_reader_.read_ended(job,
-                            [this, term = term_, job](Found found, const wire::JobStatus& status,
+                            [this, term = term_, job](Lookup found, const wire::JobStatus& status,
                                                       const state::Item& open) {
                               if (term != term_) return;
-                              if (found == Found::ended) {
+                              if (found == Lookup::ended) {
                                 reading_.erase(job);
-                                return ended(job, status.stage);
+                                return on_final_status(job, status.stage);
                               }
-                              if (found == Found::open) {
+                              if (found == Lookup::open) {
                                 reading_.erase(job);
                                 return hooks_.found_open(job, open);
                               }
-                              if (found == Found::none)
+                              if (found == Lookup::not_found)
                                 spdlog::error("{} is depended on, and not in the store", job);
                               runtime_.after(retry_, [this, term, job] {
                                 if (term != term_) return;
--- a/src/leader/jobs/dependency_tracker.h
+++ b/src/leader/jobs/dependency_tracker.h
@@ -27,13 +27,13 @@
   DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader, net::Ms retry,
                     Hooks hooks);
 
-  void stop();
+  void end_term();
   // An open job. Until `listed`, jobs that it names and that are not known are taken to come yet.
   void add(const wire::Job& job);
   // All open jobs have been listed: what is still unknown is read.
-  void listed();
+  void complete_listing();
   // The job's final status is durable.
-  void ended(const std::string& job, wire::Stage stage);
+  void on_final_status(const std::string& job, wire::Stage stage);
 
   const sched::DependencyGraph& graph() const { return graph_; }
 
--- a/src/leader/records/cluster_version.cc
+++ b/src/leader/records/cluster_version.cc
@@ -22,19 +22,19 @@
       own_spans_(spans),
       spans_(spans) {}
 
-void ClusterVersion::note_peer(const std::string& node, rpc::PeerVersion version) {
+void ClusterVersion::record_peer_version(const std::string& node, rpc::PeerVersion version) {
   if (version < rpc::kVersionSegments || !known_.insert(node).second) return;
   try_finalize();
 }
 
-void ClusterVersion::begin(std::uint64_t epoch, Hooks hooks) {
-  stop();
+void ClusterVersion::start_term(std::uint64_t epoch, Hooks hooks) {
+  end_term();
   epoch_ = epoch;
   hooks_ = std::move(hooks);
   read();
 }
 
-void ClusterVersion::stop() {
+void ClusterVersion::end_term() {
   ++term_;
   loaded_ = wanted_ = writing_ = finalized_ = false;
   spans_ = own_spans_;
--- a/src/leader/records/cluster_version.h
+++ b/src/leader/records/cluster_version.h
@@ -30,13 +30,13 @@
                  const std::vector<config::Peer>& peers, RecordSpans spans, net::Ms retry);
 
   // A message of this peer has said its version. Holds in every term: no node goes back.
-  void note_peer(const std::string& node, rpc::PeerVersion version);
+  void record_peer_version(const std::string& node, rpc::PeerVersion version);
   // Whether this peer may be sent what only new versions know.
   bool knows_segments(const std::string& node) const { return known_.contains(node); }
 
   // A term of leadership begins: reads the record.
-  void begin(std::uint64_t epoch, Hooks hooks);
-  void stop();
+  void start_term(std::uint64_t epoch, Hooks hooks);
+  void end_term();
   // Something shows that all controllers are new: no peer need be heard any more.
   void finalize();
   bool finalized() const { return finalized_; }
--- a/src/leader/records/record_store.cc
+++ b/src/leader/records/record_store.cc
@@ -46,23 +46,23 @@
                          const config::StateLimits& limits, Hooks hooks)
     : runtime_(runtime), state_(state), limits_(limits), hooks_(std::move(hooks)) {}
 
-void RecordStore::begin(std::uint64_t epoch) {
+void RecordStore::start_term(std::uint64_t epoch) {
   epoch_ = epoch;
   ++term_;
   jobs_.clear();
   outcome_unknown_.clear();
 }
 
-void RecordStore::found(const std::string& job, const RecordId& id, state::Version version) {
+void RecordStore::add_existing(const std::string& job, const RecordId& id, state::Version version) {
   jobs_[job].records[id].version = version;
 }
 
-void RecordStore::changed(const std::string& job, const RecordId& id, Urgency urgency,
-                          std::function<void()> durable) {
+void RecordStore::write(const std::string& job, const RecordId& id, Urgency urgency,
+                        std::function<void()> durable) {
   Record& r = jobs_[job].records[id];
   r.mark_dirty(urgency);
   if (durable) r.waiters.push_back(std::move(durable));
-  hurry(job, urgency);
+  withdraw_less_urgent(job, urgency);
   flush(job);
 }
 
@@ -76,17 +76,17 @@
   flush(job);
 }
 
-void RecordStore::end(const std::string& job, state::Version open_version, wire::Stage stage,
-                      std::uint64_t done, Urgency urgency,
-                      std::function<void(wire::Stage)> durable) {
+void RecordStore::write_final_status(const std::string& job, state::Version open_version,
+                                     wire::Stage stage, std::uint64_t done, Urgency urgency,
+                                     std::function<void(wire::Stage)> durable) {
   jobs_[job].ending = FinalStatus{open_version, stage, done, urgency, std::move(durable)};
-  hurry(job, urgency);
+  withdraw_less_urgent(job, urgency);
   flush(job);
 }
 
 // A transaction of the job that still waits for its turn is taken back, to go with what is more
 // urgent: that would wait for it otherwise, for as long as the service takes all that it can.
-void RecordStore::hurry(const std::string& job, Urgency urgency) {
+void RecordStore::withdraw_less_urgent(const std::string& job, Urgency urgency) {
   Entry& e = jobs_.at(job);
   if (!e.busy || e.ticket == 0 || urgency >= e.urgency || !state_.withdraw(e.ticket)) return;
   for (const RecordId& id : e.sent) e.records[id].mark_unsent();
@@ -140,7 +140,7 @@
   return list;
 }
 
-void RecordStore::later(const std::string& job, net::Ms pause) {
+void RecordStore::schedule_flush(const std::string& job, net::Ms pause) {
   const std::uint64_t term = term_;
   runtime_.after(pause, [this, term, job] {
     if (term == term_) flush(job);
@@ -237,23 +237,23 @@
       [this, term = term_, job, batch = std::move(batch), doubt](const state::TxnResult& t) {
         if (term != term_ || !jobs_.contains(job)) return;
         jobs_.at(job).ticket = 0;
-        if (t.outcome == Outcome::ok) return applied(job, batch, t.revision);
-        failed(job, batch, doubt, t);
+        if (t.outcome == Outcome::ok) return on_batch_applied(job, batch, t.revision);
+        on_batch_failed(job, batch, doubt, t);
       });
   const auto entry = jobs_.find(job);
   if (!keep && entry != jobs_.end() && entry->second.busy) entry->second.ticket = ticket;
 }
 
-void RecordStore::failed(const std::string& job, const Batch& batch, bool doubt,
-                         const state::TxnResult& result) {
+void RecordStore::on_batch_failed(const std::string& job, const Batch& batch, bool doubt,
+                                  const state::TxnResult& result) {
   Entry& e = jobs_.at(job);
   for (const RecordId& id : batch.ids) e.records[id].mark_unsent();
   if (result.outcome == Outcome::refused || result.outcome == Outcome::invalid) {
     e.busy = false;
     if (!doubt) outcome_unknown_.erase(job);  // this one was certainly not carried out
-    if (result.outcome == Outcome::refused) return later(job, kRetry);
+    if (result.outcome == Outcome::refused) return schedule_flush(job, kRetry);
     spdlog::error("the state service takes no record of {} in this form", job);
-    later(job, kRetryInvalid);
+    schedule_flush(job, kRetryInvalid);
     if (batch.outgrown) hooks_.rejected();
     return;
   }
@@ -264,7 +264,8 @@
   read_back(job, batch.ids, batch.has_final_status || names(final_status_key(job)));
 }
 
-void RecordStore::applied(const std::string& job, const Batch& batch, state::Version version) {
+void RecordStore::on_batch_applied(const std::string& job, const Batch& batch,
+                                   state::Version version) {
   Entry& e = jobs_.at(job);
   e.busy = false;
   std::vector<std::function<void()>> ready;
@@ -305,14 +306,14 @@
     state_.get(final_status_key(job), [this, job, ids, current, again](const state::GetResult& g) {
       if (!current()) return;
       if (g.outcome != Outcome::ok && g.outcome != Outcome::missing) return again(ids, true);
-      if (g.outcome == Outcome::ok && !take_final_status(job, g.item)) return again(ids, true);
+      if (g.outcome == Outcome::ok && !apply_final_status(job, g.item)) return again(ids, true);
       if (current()) read_back(job, ids, false);
     });
     return;
   }
   if (ids.empty()) {
     jobs_.at(job).busy = false;
-    return later(job, kRetry);
+    return schedule_flush(job, kRetry);
   }
   const RecordId id = ids.back();
   state_.get(work_key(job, id), [this, job, ids, id, current, again](const state::GetResult& g) {
@@ -338,7 +339,7 @@
 // The first final status stands, ours or another's. One that can't be read is neither `done`, by
 // which dependents would start, nor `withdrawn`: the outcome stays unknown and the record is read
 // again.
-bool RecordStore::take_final_status(const std::string& job, const state::Item& item) {
+bool RecordStore::apply_final_status(const std::string& job, const state::Item& item) {
   if (jobs_.at(job).ended) return true;
   wire::Stage stage = wire::Stage::done;
   try {
@@ -353,7 +354,7 @@
   if (ended)
     ended(stage);
   else
-    hooks_.ended(job, stage);
+    hooks_.final_status_found(job, stage);
   return true;
 }
 
--- a/src/leader/records/record_store.h
+++ b/src/leader/records/record_store.h
@@ -34,7 +34,7 @@
     Render render;
     std::function<void()> fenced;  // another leads
     // A final status that this store did not write was found.
-    std::function<void(const std::string& job, wire::Stage)> ended;
+    std::function<void(const std::string& job, wire::Stage)> final_status_found;
     std::function<void()> rejected;  // the service's limits are smaller than those we write for
   };
 
@@ -43,21 +43,22 @@
               Hooks hooks);
 
   // Starts a term; everything of the one before is forgotten.
-  void begin(std::uint64_t epoch);
-  void stop() { begin(0); }
+  void start_term(std::uint64_t epoch);
+  void end_term() { start_term(0); }
 
   // A record as found when the term began.
-  void found(const std::string& job, const RecordId& id, state::Version version);
+  void add_existing(const std::string& job, const RecordId& id, state::Version version);
 
   // The record changed: write it; `durable` runs once what it held by now is in the store.
-  void changed(const std::string& job, const RecordId& id, state::Urgency urgency,
-               std::function<void()> durable = nullptr);
+  void write(const std::string& job, const RecordId& id, state::Urgency urgency,
+             std::function<void()> durable = nullptr);
   // Has a record deleted that others replace: only once these are durable, or together with the
   // last of them, so that every step is one to stop after. Who waited for it waits for all of this.
   void replace(const std::string& job, const RecordId& old, const std::vector<RecordId>& with);
   // Writes the final status, and answers with the one that stands.
-  void end(const std::string& job, state::Version open_version, wire::Stage stage,
-           std::uint64_t done, state::Urgency urgency, std::function<void(wire::Stage)> durable);
+  void write_final_status(const std::string& job, state::Version open_version, wire::Stage stage,
+                          std::uint64_t done, state::Urgency urgency,
+                          std::function<void(wire::Stage)> durable);
 
   // A final status of this job may be in the store, or may come to be, and is not known here yet.
   bool outcome_unknown(const std::string& job) const { return outcome_unknown_.contains(job); }
@@ -119,18 +120,18 @@
   };
 
   void flush(const std::string& job);
-  void hurry(const std::string& job, state::Urgency urgency);
+  void withdraw_less_urgent(const std::string& job, state::Urgency urgency);
   bool settle_unneeded(const std::string& job);
   void append_final_status(const std::string& job, Batch& batch) const;
   void add_records(const std::string& job, Batch& batch);
   void send(const std::string& job, Batch batch);
-  void later(const std::string& job, net::Ms pause);
-  void failed(const std::string& job, const Batch& batch, bool doubt,
-              const state::TxnResult& result);
-  void applied(const std::string& job, const Batch& batch, state::Version version);
+  void schedule_flush(const std::string& job, net::Ms pause);
+  void on_batch_failed(const std::string& job, const Batch& batch, bool doubt,
+                       const state::TxnResult& result);
+  void on_batch_applied(const std::string& job, const Batch& batch, state::Version version);
   void read_back(const std::string& job, std::vector<RecordId> ids, bool with_final_status);
   // False if the record can't be read.
-  bool take_final_status(const std::string& job, const state::Item& item);
+  bool apply_final_status(const std::string& job, const state::Item& item);
   // The final status is in the store; whoever waits for that, if anybody.
   std::function<void(wire::Stage)> set_ended(const std::string& job);
 
--- a/src/leader/records/task_records.cc
+++ b/src/leader/records/task_records.cc
@@ -34,7 +34,7 @@
 void Controller::record_changed(const std::string& id, std::uint32_t task, Urgency urgency,
                                 std::function<void()> durable) {
   if (layout_.layout() == Layout::segments) replace_chunks(id);
-  records_.changed(id, layout_.record_of(task), urgency, std::move(durable));
+  records_.write(id, layout_.record_of(task), urgency, std::move(durable));
 }
 
 bool Controller::record_settled(const std::string& id, std::uint32_t task) const {
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -12,14 +12,14 @@
 using net::Ms;
 using state::Outcome;
 
-void Controller::load(const std::string& prefix, const std::string& after, bool first) {
+void Controller::list_records(const std::string& prefix, const std::string& after, bool first) {
   const std::uint64_t term = term_;
   state_.list(prefix, after, [this, term, prefix, after, first](const state::ListResult& r) {
     if (term != term_) return;
     if (r.outcome != Outcome::ok) {
       runtime_.after(net::ms(settings_.heartbeat_interval_s / 10),
                      [this, term, prefix, after, first] {
-                       if (term == term_) load(prefix, after, first);
+                       if (term == term_) list_records(prefix, after, first);
                      });
       return;
     }
@@ -31,20 +31,20 @@
     }
     for (const state::Item& item : r.items) {
       if (open)
-        accepted(item.key.substr(prefix.size()), item.value, item.version);
+        apply_open_record(item.key.substr(prefix.size()), item.value, item.version);
       else
-        take_record(item);
+        collect_record(item);
     }
-    if (r.more && !r.items.empty()) return load(prefix, r.items.back().key, false);
+    if (r.more && !r.items.empty()) return list_records(prefix, r.items.back().key, false);
     if (open && loaded_) return watch();  // listed again after the watch had fallen behind
-    if (open) return load("work/", "", true);
-    take_collected();
-    recovered();
+    if (open) return list_records("work/", "", true);
+    apply_collected_records();
+    complete_recovery();
   });
 }
 
 // Everything is listed: what the former leader left half done is settled, and scheduling begins.
-void Controller::recovered() {
+void Controller::complete_recovery() {
   loaded_ = true;
   std::vector<std::string> ids;
   for (const auto& [id, job] : jobs_) ids.push_back(id);
@@ -60,7 +60,7 @@
     if (job->gang() && !job->attempts.empty() &&
         job->attempts.size() + job->finished_count < job->spec.tasks)
       lost_attempt(*job);
-    maybe_done(*job);
+    conclude_if_complete(*job);
   }
   const auto ended = std::count_if(jobs_.begin(), jobs_.end(),
                                    [](const auto& entry) { return entry.second->ended; });
@@ -68,25 +68,25 @@
   for (const auto& [id, job] : jobs_) attempts += job->attempts.size();
   audit::recovery_ended(election_.epoch(), listed_, jobs_.size() - static_cast<std::size_t>(ended),
                         static_cast<std::size_t>(ended), attempts, runtime_.now() - began_);
-  dependencies_.listed();
+  dependencies_.complete_listing();
   watch();
   request_pass();
 }
 
 // Records come in the order of their keys, a job's chunks before its segments.
-void Controller::take_record(const state::Item& item) {
+void Controller::collect_record(const state::Item& item) {
   constexpr std::string_view prefix = "work/";
   const std::string rest = item.key.substr(prefix.size());
   const auto slash = rest.find('/');
   if (slash == std::string::npos) return;
   const std::string id = rest.substr(0, slash);
-  if (id != collected_job_) take_collected();
+  if (id != collected_job_) apply_collected_records();
   collected_job_ = id;
   const auto record_id = record_id_from(std::string_view(rest).substr(slash + 1));
   try {
     if (!record_id) throw wire::Malformed("no record's name");
     collected_.push_back(decode_task_record(*record_id, item.value, layout_));
-    records_.found(id, *record_id, item.version);
+    records_.add_existing(id, *record_id, item.version);
   } catch (const wire::Malformed& error) {
     // It may hold attempts that are at work: not taken for none.
     spdlog::error("unreadable record {}, {} is not scheduled: {}", item.key, id, error.what());
@@ -96,7 +96,7 @@
 
 // A segment counts before a chunk, for all tasks in its range: it is newer, whatever the chunk
 // says.
-void Controller::take_collected() {
+void Controller::apply_collected_records() {
   std::vector<TaskRecord> records = std::exchange(collected_, {});
   if (records.empty()) return;
   JobRecord* known = find_job(collected_job_);
@@ -152,7 +152,7 @@
                  if (term != term_) return;
                  if (r.outcome == Outcome::missing) {
                    // Too far behind: list again. Jobs known already are not touched.
-                   return load("open/", "", true);
+                   return list_records("open/", "", true);
                  }
                  if (r.outcome != Outcome::ok) {
                    runtime_.after(net::ms(settings_.heartbeat_interval_s / 10), [this, term] {
@@ -162,7 +162,7 @@
                  }
                  watched_ = r.revision;
                  for (const state::Event& e : r.events)
-                   if (e.value) accepted(e.key.substr(5), *e.value, e.version);
+                   if (e.value) apply_open_record(e.key.substr(5), *e.value, e.version);
                  watch();
                });
 }
--- a/src/leader/scheduling/upkeep.cc
+++ b/src/leader/scheduling/upkeep.cc
@@ -77,7 +77,7 @@
     const bool confirmed = m.last_heartbeat_at >= 0 && m.token >= election_.epoch();
     if (attempts_.lease_expired(m, began_, confirmed, times)) expired.push_back(&m);
   }
-  for (Machine* m : expired) machine_gone(*m, audit::AbsenceProof::lease_expired);
+  for (Machine* m : expired) release_machine(*m, audit::AbsenceProof::lease_expired);
 }
 
 // A gang that has held room for too long gives it back. The machines that are held still.
--- a/src/leader/workers/commands.cc
+++ b/src/leader/workers/commands.cc
@@ -59,7 +59,7 @@
   }
   if (!report || report->machine != name) return;
   if (report->token > election_.epoch())
-    return election_.lost(audit::Deposed::worker_shows_higher_epoch);
+    return election_.step_down(audit::StepDownReason::worker_shows_higher_epoch);
   reconcile(*machine, *report, false);
 }
 
--- a/src/leader/workers/heartbeats.cc
+++ b/src/leader/workers/heartbeats.cc
@@ -19,10 +19,10 @@
 }
 }  // namespace
 
-HeartbeatAnswer Controller::heartbeat(const wire::Heartbeat& report) {
+HeartbeatReply Controller::handle_heartbeat(const wire::Heartbeat& report) {
   if (!active_ || !election_.may_answer()) return {503, "{}"};
   if (report.token > election_.epoch()) {  // another leads already
-    election_.lost(audit::Deposed::worker_shows_higher_epoch);
+    election_.step_down(audit::StepDownReason::worker_shows_higher_epoch);
     return {503, "{}"};
   }
   if (fleet_.deleted(report.machine)) return {503, "{}"};  // only late reports come from it
@@ -85,7 +85,7 @@
     attempts_.set_state(*attempt, task.state);
   }
   const bool any_missing = AttemptTracker::mark_missing(machine, reported, heartbeat);
-  take_exits(machine, exited);
+  apply_exits(machine, exited);
   if (machine.draining && machine.attempts.empty() && !machine.deleting) fleet_.remove(machine);
   if (any_missing) verify_absence(machine);
 }
@@ -123,7 +123,7 @@
 }
 
 // Releasing can end jobs and move others, so this goes by name.
-void Controller::take_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited) {
+void Controller::apply_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited) {
   std::set<std::string> jobs;
   for (const wire::TaskStatus* task : exited) {
     jobs.insert(task->job);
@@ -131,7 +131,7 @@
     if (attempt) task_exited(*attempt, *task);
   }
   for (const std::string& id : jobs)
-    if (JobRecord* job = find_job(id)) maybe_done(*job);
+    if (JobRecord* job = find_job(id)) conclude_if_complete(*job);
 }
 
 // A late copy of a start finds the attempt for as long as the worker knows it, and does nothing.
--- a/src/state/client.cc
+++ b/src/state/client.cc
@@ -141,7 +141,7 @@
          });
 }
 
-void Client::grant(Ms ttl, std::function<void(LeaseResult)> done) {
+void Client::grant_lease(Ms ttl, std::function<void(LeaseResult)> done) {
   submit(Urgency::lease, Call{endpoint_, "POST", "/leases", Json{{"ttl_ms", ttl}}.dump(), timeout_},
          0, [done = std::move(done)](const Reply& r) {
            done(parsed<LeaseResult>(
@@ -149,13 +149,13 @@
          });
 }
 
-void Client::renew(std::uint64_t lease, Ms timeout, std::function<void(Outcome)> done) {
+void Client::renew_lease(std::uint64_t lease, Ms timeout, std::function<void(Outcome)> done) {
   submit(Urgency::lease,
          Call{endpoint_, "POST", "/leases/" + std::to_string(lease) + "/extend", "", timeout}, 0,
          [done = std::move(done)](const Reply& r) { done(outcome_of(r)); });
 }
 
-void Client::end(std::uint64_t lease, std::function<void(Outcome)> done) {
+void Client::revoke_lease(std::uint64_t lease, std::function<void(Outcome)> done) {
   submit(Urgency::lease,
          Call{endpoint_, "DELETE", "/leases/" + std::to_string(lease), "", timeout_}, 0,
          [done = std::move(done)](const Reply& r) { done(outcome_of(r)); });
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -108,9 +108,9 @@
   bool withdraw(Ticket ticket);
   void watch(const std::string& prefix, Version since, net::Ms wait,
              std::function<void(WatchResult)> done);
-  void grant(net::Ms ttl, std::function<void(LeaseResult)> done);
-  void renew(std::uint64_t lease, net::Ms timeout, std::function<void(Outcome)> done);
-  void end(std::uint64_t lease, std::function<void(Outcome)> done);
+  void grant_lease(net::Ms ttl, std::function<void(LeaseResult)> done);
+  void renew_lease(std::uint64_t lease, net::Ms timeout, std::function<void(Outcome)> done);
+  void revoke_lease(std::uint64_t lease, std::function<void(Outcome)> done);
 
   // Whether the reads that answer one status query may be made now. Queries come as often as users
   // ask, so they get what the rest leaves: none while anything waits, and fewer once the service
--- a/src/workers/client.h
+++ b/src/workers/client.h
@@ -33,7 +33,7 @@
   // Reads what is on the worker now; nothing if it does not answer.
   void inspect(const std::string& addr, Inspected done);
   // Drops what has not left yet; its askers hear nothing.
-  void stop() { queue_.clear(); }
+  void drop_queued() { queue_.clear(); }
 
  private:
   void enqueue(net::Call call, net::ReplyFn done);
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -112,9 +112,9 @@
   StateRequests state;
   state::LeaseResult granted;
   state.answer(200, R"({"permit":6})");
-  state.client.grant(3333, [&](const state::LeaseResult& result) { granted = result; });
-  state.client.renew(6, 500, [](state::Outcome) {});
-  state.client.end(6, [](state::Outcome) {});
+  state.client.grant_lease(3333, [&](const state::LeaseResult& result) { granted = result; });
+  state.client.renew_lease(6, 500, [](state::Outcome) {});
+  state.client.revoke_lease(6, [](state::Outcome) {});
   EXPECT_EQ(state.http.requests,
             (Requests{R"(state:1 POST /leases {"ttl_ms":3333})", "state:1 POST /leases/6/extend ",
                       "state:1 DELETE /leases/6 "}));
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -169,7 +169,7 @@
   http.held[0].second({net::Reply::Fate::unknown, 0, {}});
   ASSERT_EQ(http.held.size(), 3u);
   EXPECT_EQ(http.held[2].first.endpoint, "m2");
-  client.stop();  // no longer leading: what has not left is not sent
+  client.drop_queued();  // no longer leading: what has not left is not sent
   http.held[1].second({net::Reply::Fate::unknown, 0, {}});
   http.held[2].second({net::Reply::Fate::unknown, 0, {}});
   EXPECT_EQ(http.held.size(), 3u);
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -27,7 +27,7 @@
     net.serve("state:1",
               [this](const net::Request& r, net::Answer a) { service.handle(r, std::move(a)); });
     put(Election::kKey, {{"node", "n0"}});
-    records.begin(revision);
+    records.start_term(revision);
   }
   void put(const std::string& key, const wire::Json& v) {
     state::Txn t;
@@ -63,7 +63,7 @@
     f.lose_answer = c.path == "/txn" && lost++ == 0;
     return f;
   });
-  records.changed("wk-1", chunk, state::Urgency::assignment, [&] { ++durable; });
+  records.write("wk-1", chunk, state::Urgency::assignment, [&] { ++durable; });
   time.run_for(5000);
   EXPECT_EQ(durable, 1);
   EXPECT_EQ(stored("work/wk-1/0"), (wire::Json{{"n", 1}}));
@@ -77,10 +77,10 @@
     if (c.path == "/txn" && sent++ == 0) f.late = 20000;
     return f;
   });
-  records.changed("wk-1", chunk, state::Urgency::assignment, [&] { ++durable; });
+  records.write("wk-1", chunk, state::Urgency::assignment, [&] { ++durable; });
   time.run_for(1000);
   value = wire::Json{{"n", 2}};
-  records.changed("wk-1", chunk, state::Urgency::progress, [&] { ++durable; });
+  records.write("wk-1", chunk, state::Urgency::progress, [&] { ++durable; });
   time.run_for(5000);
   EXPECT_EQ(durable, 2);
   time.run_for(30000);  // the first is applied now, or rather not
@@ -94,15 +94,15 @@
   RecordStore busy(process, slow, {1000, 4, 8, 10},
                    {[this](const std::string&, const RecordId&) { return value; }, [] {},
                     [](const std::string&, wire::Stage) {}, [] {}});
-  busy.begin(revision);
+  busy.start_term(revision);
   for (int i = 10; i < 40; ++i)
-    busy.changed("wk-" + std::to_string(i), chunk, state::Urgency::assignment);
+    busy.write("wk-" + std::to_string(i), chunk, state::Urgency::assignment);
   bool recorded = false, ended = false;
   put("open/wk-1", {{"n", 1}});
   const state::Version open = revision;
-  busy.changed("wk-1", chunk, state::Urgency::progress, [&] { recorded = true; });
-  busy.end("wk-1", open, wire::Stage::done, 1, state::Urgency::final_status,
-           [&](wire::Stage) { ended = true; });
+  busy.write("wk-1", chunk, state::Urgency::progress, [&] { recorded = true; });
+  busy.write_final_status("wk-1", open, wire::Stage::done, 1, state::Urgency::final_status,
+                          [&](wire::Stage) { ended = true; });
   time.run_for(1500);
   EXPECT_TRUE(ended);
   EXPECT_TRUE(recorded);
@@ -113,7 +113,7 @@
 TEST_F(RecordStoreTest, FormerLeaderWritesNothing) {
   put(Election::kKey, {{"node", "n1"}});
   bool durable = false;
-  records.changed("wk-1", chunk, state::Urgency::assignment, [&] { durable = true; });
+  records.write("wk-1", chunk, state::Urgency::assignment, [&] { durable = true; });
   time.run_for(2000);
   EXPECT_TRUE(fenced);
   EXPECT_FALSE(durable);
@@ -123,8 +123,8 @@
 TEST_F(RecordStoreTest, FirstFinalStatusStands) {
   put("ends/wk-1", {{"stage", "withdrawn"}, {"done", 0}});
   wire::Stage stage = wire::Stage::queued;
-  records.end("wk-1", 3, wire::Stage::done, 2, state::Urgency::final_status,
-              [&](wire::Stage s) { stage = s; });
+  records.write_final_status("wk-1", 3, wire::Stage::done, 2, state::Urgency::final_status,
+                             [&](wire::Stage s) { stage = s; });
   time.run_for(3000);
   EXPECT_EQ(stage, wire::Stage::cancelled);
 }
@@ -132,7 +132,7 @@
 TEST_F(RecordStoreTest, NoStartIsRecordedAfterAFinalStatus) {
   put("ends/wk-1", {{"stage", "withdrawn"}, {"done", 0}});
   bool durable = false;
-  records.changed("wk-1", chunk, state::Urgency::assignment, [&] { durable = true; });
+  records.write("wk-1", chunk, state::Urgency::assignment, [&] { durable = true; });
   time.run_for(150);
   EXPECT_FALSE(durable);
   EXPECT_TRUE(ended_elsewhere);
