--- a/tests/fakes/cloud_service.cc
+++ b/tests/fakes/cloud_service.cc
@@ -15,9 +15,9 @@
 
 // m-000001, m-000002, …
 std::string machine_name(int number) {
-  constexpr std::size_t kDigits = 6;
+  constexpr std::size_t width = 6;
   const std::string digits = std::to_string(number);
-  return "m-" + std::string(kDigits - digits.size(), '0') + digits;
+  return "m-" + std::string(width - digits.size(), '0') + digits;
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
 }
 
 std::string CloudService::boot(const MachineSpec& spec, Ms delay) {
-  const std::string name = machine_name(++last_number_);
+  std::string name = machine_name(++last_number_);
   listed_[name] = {spec, net_.time().now()};
   net_.time().after(delay, [this, name, spec] {
     if (listed_.contains(name)) power_on(name, spec);
--- a/tests/fakes/invariant_checker.cc
+++ b/tests/fakes/invariant_checker.cc
@@ -106,8 +106,8 @@
   double used = 0;
   for (const auto& [task, machine] : running_on)
     if (jobs[task.job].spec.team == team) used += jobs[task.job].spec.gpus;
-  constexpr double kRounding = 1e-6;
-  if (used > limit->second + kRounding) violations.push_back("quota " + team);
+  constexpr double slack = 1e-6;
+  if (used > limit->second + slack) violations.push_back("quota " + team);
 }
 
 void InvariantChecker::check_cancelled(const TaskKey& task, Ms now) {
--- a/tests/fakes/simulated_cluster.cc
+++ b/tests/fakes/simulated_cluster.cc
@@ -117,8 +117,8 @@
 }
 
 bool SimulatedCluster::wait_for_leader() {
-  constexpr int kAttempts = 300;
-  for (int i = 0; i < kAttempts; ++i) {
+  constexpr int attempts = 300;
+  for (int i = 0; i < attempts; ++i) {
     if (!leader().empty() && request(leader(), "GET", "/up").status == 200) break;
     time.run_for(100);
   }
--- a/tests/fakes/simulated_cluster_users.cc
+++ b/tests/fakes/simulated_cluster_users.cc
@@ -27,7 +27,7 @@
 
 JobAnswer SimulatedCluster::submit(const std::string& node, const wire::Job& job) {
   checker.jobs[job.id].spec = job;
-  const JobAnswer answer = request(node, "POST", "/api/jobs", wire::to_json(job).dump());
+  JobAnswer answer = request(node, "POST", "/api/jobs", wire::to_json(job).dump());
   if (answer.accepted()) {
     checker.jobs[job.id].accepted = true;
     checker.job_answered(job.id, answer.status, answer.stage(), time.now());
@@ -61,14 +61,14 @@
 
 JobAnswer SimulatedCluster::cancel_until_final(const std::string& node, const std::string& id,
                                                Ms within) {
-  constexpr Ms kRefusedAtOnce = 2000;
+  constexpr Ms at_once = 2000;
   const Ms end = time.now() + within;
   while (time.now() < end) {
     const Ms before = time.now();
     JobAnswer answer = cancel(node, id);
     if (answer.status == 200) return answer;
     EXPECT_EQ(answer.status, 503);
-    EXPECT_LT(time.now() - before, kRefusedAtOnce);
+    EXPECT_LT(time.now() - before, at_once);
     time.run_for(1000);
   }
   return {};
--- a/tests/fakes/state_service.cc
+++ b/tests/fakes/state_service.cc
@@ -129,7 +129,7 @@
     else
       erase(change.at("delete"));
   }
-  const net::Response done{200, wire::Json{{"ledger_rev", revision_}}.dump(), 0};
+  net::Response done{200, wire::Json{{"ledger_rev", revision_}}.dump(), 0};
   notify_watchers();
   return done;
 }
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -43,7 +43,7 @@
       lease_began_(net.time().now()) {
   net_.serve(
       endpoint(),
-      [this](const net::Request& request, net::Answer answer) { handle(request, answer); },
+      [this](const net::Request& request, const net::Answer& answer) { handle(request, answer); },
       Connections::end_with_service);
   checker_.machines[name_] = spec_;
   send_heartbeat();
--- a/tests/fault_tolerance_test.cc
+++ b/tests/fault_tolerance_test.cc
@@ -270,14 +270,14 @@
 TEST(FaultTolerance, OverloadedLeaderPlacesLessOften) {
   SimulatedCluster cluster(1, 8);
   ASSERT_TRUE(cluster.wait_for_leader());
-  constexpr Ms kLag = 800;
-  constexpr Ms kBetweenPasses = 300;
-  cluster.slow_down(cluster.leader(), kLag);
+  constexpr Ms lag = 800;
+  constexpr Ms between_passes = 300;
+  cluster.slow_down(cluster.leader(), lag);
   int passes = 0;  // that started anything: each sends its starts together
   Ms last = 0;
   cluster.net.set_rule([&](const std::string&, const net::Call& call) {
     if (!is_start_command(call)) return Delivery{};
-    if (cluster.time.now() - last > kBetweenPasses) ++passes;
+    if (cluster.time.now() - last > between_passes) ++passes;
     last = cluster.time.now();
     return Delivery{};
   });
@@ -286,9 +286,9 @@
     cluster.submit(cluster.follower(), array_job("wk-" + std::to_string(100 + i), 1, 60));
     cluster.time.run_for(700);
   }
-  cluster.time.run_for(5 * kLag);
+  cluster.time.run_for(5 * lag);
   EXPECT_EQ(cluster.start_count(), 14);
-  EXPECT_LE(passes, (cluster.time.now() - begin) / (5 * kLag) + 1);
+  EXPECT_LE(passes, (cluster.time.now() - begin) / (5 * lag) + 1);
   cluster.expect_no_violations();
 }
 
