--- a/src/jobs/job_status_reader.cc
+++ b/src/jobs/job_status_reader.cc
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "jobs/final_status.h"
+#include "leader/records/keys.h"
 
 namespace seampass::jobs {
 
@@ -106,8 +107,9 @@
 // `open/` is read before `ends/`: a job moves from the first to the second in one transaction, so
 // in this order one that exists can't be missed in both.
 void JobStatusReader::read_record(const std::string& job, OnOpen on_open, Done otherwise) {
-  state_.get("open/" + job, [this, job, on_open = std::move(on_open),
-                             otherwise = std::move(otherwise)](const state::GetResult& open) {
+  const std::string key = leader::open_key(job);
+  state_.get(key, [this, job, on_open = std::move(on_open),
+                   otherwise = std::move(otherwise)](const state::GetResult& open) {
     if (open.outcome == Outcome::missing) return read_final(job, otherwise);
     wire::JobStatus status;
     status.id = job;
@@ -125,7 +127,8 @@
 }
 
 void JobStatusReader::read_final(const std::string& job, Done done) {
-  state_.get("ends/" + job, [this, job, done = std::move(done)](const state::GetResult& ends) {
+  const std::string key = leader::final_status_key(job);
+  state_.get(key, [this, job, done = std::move(done)](const state::GetResult& ends) {
     wire::JobStatus status;
     status.id = job;
     if (ends.outcome == Outcome::missing) return done(Lookup::not_found, status, {});
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -5,6 +5,7 @@
 
 #include "jobs/api_handler.h"
 #include "jobs/responses.h"
+#include "leader/records/keys.h"
 #include "sched/snapshot.h"
 
 namespace seampass::jobs {
--- a/src/leader/audit_log.cc
+++ b/src/leader/audit_log.cc
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "leader/records/task_record.h"
+#include "leader/records/keys.h"
 
 namespace seampass::leader::audit {
 
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "leader/records/keys.h"
+
 namespace seampass::leader {
 
 using net::Ms;
@@ -62,7 +64,7 @@
   layout_.use(Layout::chunks, cluster_.spans());
   // Records are read once it is known in which layouts they may be.
   cluster_.start_term(election_.epoch(),
-                      {[this] { list_records("open/", "", true); }, [this] { use_segments(); },
+                      {[this] { list_records(kOpenPrefix, "", true); }, [this] { use_segments(); },
                        [this] { election_.step_down(audit::StepDownReason::fenced); }});
   tick();
 }
--- a/src/leader/election/election.cc
+++ b/src/leader/election/election.cc
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "leader/records/keys.h"
+
 namespace seampass::leader {
 
 using state::Outcome;
@@ -24,7 +26,7 @@
   try {
     return wire::text_field(record, "node");
   } catch (const wire::Malformed& error) {
-    spdlog::error("unreadable record {}: {}", Election::kKey, error.what());
+    spdlog::error("unreadable record {}: {}", kLeaderKey, error.what());
     return {};
   }
 }
@@ -68,7 +70,7 @@
 void Election::read() {
   const std::uint64_t term = ++term_;
   state_.get(
-      kKey,
+      kLeaderKey,
       [this, term](const state::GetResult& r) {
         if (term != term_) return;
         if (r.outcome == Outcome::missing) {
@@ -96,13 +98,13 @@
 
 void Election::watch() {
   const std::uint64_t term = term_;
-  state_.watch(kKey, seen_, 4 * times_.ttl, [this, term](const state::WatchResult& r) {
+  state_.watch(kLeaderKey, seen_, 4 * times_.ttl, [this, term](const state::WatchResult& r) {
     if (term != term_) return;
     if (r.outcome == Outcome::missing) return read();
     if (r.outcome != Outcome::ok) return retry([this] { watch(); });
     bool vacant = false;
     for (const auto& e : r.events) {
-      if (e.key != kKey) continue;
+      if (e.key != kLeaderKey) continue;
       vacant = !e.value;
       if (e.value) highest_known_epoch_ = std::max(highest_known_epoch_, e.version);
       leader_ = e.value ? node_named(*e.value) : "";
@@ -132,8 +134,8 @@
     if (g.outcome != Outcome::ok) return retry([this] { read(); });
     lease_ = g.lease;
     state::Txn txn;
-    txn.conditions.push_back({kKey, 0});
-    txn.changes.push_back({kKey, wire::Json{{"node", node_}}, lease_});
+    txn.conditions.push_back({kLeaderKey, 0});
+    txn.changes.push_back({kLeaderKey, wire::Json{{"node", node_}}, lease_});
     state_.txn(std::move(txn), state::Urgency::lease, [this, term](const state::TxnResult& t) {
       if (term != term_) return;
       if (t.outcome == Outcome::ok) return become_leader(t.revision);
--- a/src/leader/election/election.h
+++ b/src/leader/election/election.h
@@ -56,8 +56,6 @@
   // Another node says that it leads, with this epoch.
   void on_leader_announced(const std::string& node, std::uint64_t epoch);
 
-  static constexpr const char* kKey = "leader";
-
  private:
   void read();
   void watch();
--- a/src/leader/records/cluster_version.cc
+++ b/src/leader/records/cluster_version.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "leader/election/election.h"
+#include "leader/records/keys.h"
 
 namespace seampass::leader {
 
@@ -59,7 +59,7 @@
     recorded.segment = static_cast<std::uint32_t>(wire::count_field(value, "segment_tasks"));
     recorded.chunk = static_cast<std::uint32_t>(wire::count_field(value, "chunk_tasks"));
   } catch (const wire::Malformed& error) {
-    spdlog::error("unreadable record {}: {}", kKey, error.what());
+    spdlog::error("unreadable record {}: {}", kClusterKey, error.what());
   }
   if (recorded.segment == 0 || recorded.chunk == 0) return read_later();
   writing_ = false;
@@ -72,7 +72,7 @@
 }
 
 void ClusterVersion::read() {
-  state_.get(kKey, [this, term = term_](const state::GetResult& result) {
+  state_.get(kClusterKey, [this, term = term_](const state::GetResult& result) {
     if (term != term_) return;
     if (result.outcome == Outcome::ok) return take(result.item.value);
     if (result.outcome != Outcome::missing) return read_later();
@@ -94,8 +94,8 @@
                    {"segment_tasks", own_spans_.segment},
                    {"chunk_tasks", own_spans_.chunk}};
   state::Txn txn;
-  txn.conditions = {{Election::kKey, epoch_}, {kKey, 0}};
-  txn.changes.push_back({kKey, value, 0});
+  txn.conditions = {{kLeaderKey, epoch_}, {kClusterKey, 0}};
+  txn.changes.push_back({kClusterKey, value, 0});
   state_.txn(std::move(txn), state::Urgency::final_status,
              [this, term = term_, value](const state::TxnResult& result) {
                if (term != term_) return;
@@ -105,7 +105,7 @@
                }
                const auto& failed = result.failed;
                if (result.outcome == Outcome::conflict &&
-                   std::find(failed.begin(), failed.end(), Election::kKey) != failed.end())
+                   std::find(failed.begin(), failed.end(), kLeaderKey) != failed.end())
                  return hooks_.fenced();
                // Whether it was written is not known, or another's record is there.
                read_later();
--- a/src/leader/records/cluster_version.h
+++ b/src/leader/records/cluster_version.h
@@ -42,8 +42,6 @@
   bool finalized() const { return finalized_; }
   const RecordSpans& spans() const { return spans_; }
 
-  static constexpr const char* kKey = "cluster";
-
  private:
   void read();
   void write();
--- a/src/leader/records/record_store.cc
+++ b/src/leader/records/record_store.cc
@@ -6,8 +6,7 @@
 
 #include "jobs/final_status.h"
 #include "leader/audit_log.h"
-#include "leader/election/election.h"
-#include "leader/records/task_record.h"
+#include "leader/records/keys.h"
 
 namespace seampass::leader {
 
@@ -21,12 +20,6 @@
 constexpr net::Ms kRetryInvalid = 2000;
 }  // namespace
 
-std::string open_key(const std::string& job) { return "open/" + job; }
-std::string final_status_key(const std::string& job) { return "ends/" + job; }
-std::string work_key(const std::string& job, const RecordId& id) {
-  return "work/" + job + "/" + record_name(id);
-}
-
 void RecordStore::Record::mark_dirty(Urgency at_least) {
   urgency = dirty ? std::min(urgency, at_least) : at_least;
   dirty = true;
@@ -154,7 +147,7 @@
 
   Batch batch;
   // A late transaction of a former leader fails here.
-  batch.txn.conditions.push_back({Election::kKey, epoch_});
+  batch.txn.conditions.push_back({kLeaderKey, epoch_});
   append_final_status(job, batch);
   add_records(job, batch);
   if (!batch.txn.changes.empty()) send(job, std::move(batch));
@@ -260,7 +253,7 @@
   const auto names = [&result](const std::string& key) {
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
   };
-  if (result.outcome == Outcome::conflict && names(Election::kKey)) return hooks_.fenced();
+  if (result.outcome == Outcome::conflict && names(kLeaderKey)) return hooks_.fenced();
   read_back(job, batch.ids, batch.has_final_status || names(final_status_key(job)));
 }
 
--- a/src/leader/records/record_store.h
+++ b/src/leader/records/record_store.h
@@ -20,10 +20,6 @@
 
 namespace seampass::leader {
 
-std::string open_key(const std::string& job);
-std::string final_status_key(const std::string& job);
-std::string work_key(const std::string& job, const RecordId& id);
-
 class RecordStore {
  public:
   // What a record should hold now; none: it should not exist.
--- a/src/leader/records/task_record.cc
+++ b/src/leader/records/task_record.cc
@@ -1,8 +1,5 @@
 #include "leader/records/task_record.h"
 
-#include <charconv>
-#include <limits>
-
 namespace seampass::leader {
 
 using wire::Json;
@@ -10,7 +7,6 @@
 
 namespace {
 
-constexpr char kSegmentMark = 's';
 constexpr std::uint32_t kBitsPerDigit = 4;
 
 // The bits as hexadecimal digits, the first bit lowest in its digit; empty if none is set.
@@ -84,23 +80,6 @@
   return value;
 }
 
-std::string record_name(const RecordId& id) {
-  const std::string number = std::to_string(id.index);
-  return id.layout == Layout::chunks ? number : kSegmentMark + number;
-}
-
-std::optional<RecordId> record_id_from(std::string_view name) {
-  RecordId id;
-  if (name.starts_with(kSegmentMark)) {
-    id.layout = Layout::segments;
-    name.remove_prefix(1);
-  }
-  const char* end = name.data() + name.size();
-  const auto [parsed, error] = std::from_chars(name.data(), end, id.index);
-  if (error != std::errc() || parsed != end) return std::nullopt;
-  return id;
-}
-
 TaskRecord decode_task_record(const RecordId& id, const Json& value, const RecordLayout& layout) {
   if (!value.is_object()) throw Malformed("not an object");
   TaskRecord record;
--- a/src/leader/records/task_record.h
+++ b/src/leader/records/task_record.h
@@ -2,9 +2,7 @@
 #pragma once
 
 #include <cstdint>
-#include <optional>
 #include <string>
-#include <string_view>
 #include <vector>
 
 #include "leader/records/record_layout.h"
@@ -34,11 +32,6 @@
 
 wire::Json encode(const TaskRecord& record);
 
-// The last part of a record's key.
-std::string record_name(const RecordId& id);
-// None if this is no record's name.
-std::optional<RecordId> record_id_from(std::string_view name);
-
 // Throws wire::Malformed. `layout` tells the span of a chunk that does not say it itself, as those
 // written by older versions.
 TaskRecord decode_task_record(const RecordId& id, const wire::Json& value,
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -2,10 +2,10 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <string_view>
 #include <utility>
 
 #include "leader/controller.h"
+#include "leader/records/keys.h"
 
 namespace seampass::leader {
 
@@ -23,21 +23,21 @@
                      });
       return;
     }
-    const bool open = prefix == "open/";
+    const bool open = prefix == kOpenPrefix;
     // Jobs accepted from here on come by the watch.
     if (open && first) {
       watched_ = r.revision;
       if (listed_ == 0) listed_ = r.revision;
     }
     for (const state::Item& item : r.items) {
-      if (open)
-        apply_open_record(item.key.substr(prefix.size()), item.value, item.version);
-      else
+      if (!open)
         collect_record(item);
+      else if (const auto job = job_from_open_key(item.key))
+        apply_open_record(*job, item.value, item.version);
     }
     if (r.more && !r.items.empty()) return list_records(prefix, r.items.back().key, false);
     if (open && loaded_) return watch();  // listed again after the watch had fallen behind
-    if (open) return list_records("work/", "", true);
+    if (open) return list_records(kWorkPrefix, "", true);
     apply_collected_records();
     complete_recovery();
   });
@@ -75,18 +75,15 @@
 
 // Records come in the order of their keys, a job's chunks before its segments.
 void Controller::collect_record(const state::Item& item) {
-  constexpr std::string_view prefix = "work/";
-  const std::string rest = item.key.substr(prefix.size());
-  const auto slash = rest.find('/');
-  if (slash == std::string::npos) return;
-  const std::string id = rest.substr(0, slash);
+  const auto key = parse_work_key(item.key);
+  if (!key) return;
+  const std::string& id = key->job;
   if (id != collected_job_) apply_collected_records();
   collected_job_ = id;
-  const auto record_id = record_id_from(std::string_view(rest).substr(slash + 1));
   try {
-    if (!record_id) throw wire::Malformed("no record's name");
-    collected_.push_back(decode_task_record(*record_id, item.value, layout_));
-    records_.add_existing(id, *record_id, item.version);
+    if (!key->record) throw wire::Malformed("no record's name");
+    collected_.push_back(decode_task_record(*key->record, item.value, layout_));
+    records_.add_existing(id, *key->record, item.version);
   } catch (const wire::Malformed& error) {
     // It may hold attempts that are at work: not taken for none.
     spdlog::error("unreadable record {}, {} is not scheduled: {}", item.key, id, error.what());
@@ -147,12 +144,12 @@
 
 void Controller::watch() {
   const std::uint64_t term = term_;
-  state_.watch("open/", watched_, net::ms(settings_.lease_s),
+  state_.watch(kOpenPrefix, watched_, net::ms(settings_.lease_s),
                [this, term](const state::WatchResult& r) {
                  if (term != term_) return;
                  if (r.outcome == Outcome::missing) {
                    // Too far behind: list again. Jobs known already are not touched.
-                   return list_records("open/", "", true);
+                   return list_records(kOpenPrefix, "", true);
                  }
                  if (r.outcome != Outcome::ok) {
                    runtime_.after(net::ms(settings_.heartbeat_interval_s / 10), [this, term] {
@@ -161,8 +158,10 @@
                    return;
                  }
                  watched_ = r.revision;
-                 for (const state::Event& e : r.events)
-                   if (e.value) apply_open_record(e.key.substr(5), *e.value, e.version);
+                 for (const state::Event& event : r.events) {
+                   const auto job = job_from_open_key(event.key);
+                   if (job && event.value) apply_open_record(*job, *event.value, event.version);
+                 }
                  watch();
                });
 }
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -8,6 +8,7 @@
 
 #include "jobs/final_status.h"
 #include "leader/controller.h"
+#include "leader/records/keys.h"
 #include "leader/records/task_record.h"
 
 namespace seampass {
@@ -80,8 +81,8 @@
 }
 
 TEST(Formats, NamesTheKeysOfTheClusterAsBefore) {
-  EXPECT_EQ(std::string(leader::ClusterVersion::kKey), "cluster");
-  EXPECT_EQ(std::string(leader::Election::kKey), "leader");
+  EXPECT_EQ(std::string(leader::kClusterKey), "cluster");
+  EXPECT_EQ(std::string(leader::kLeaderKey), "leader");
 }
 
 TEST(Formats, WritesAnOpenJobAsBefore) {
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -4,7 +4,7 @@
 
 #include "fakes/sim.h"
 #include "fakes/state_service.h"
-#include "leader/election/election.h"
+#include "leader/records/keys.h"
 
 namespace seampass::leader {
 namespace {
@@ -26,7 +26,7 @@
                  [this] { rejected = true; }}) {
     net.serve("state:1",
               [this](const net::Request& r, net::Answer a) { service.handle(r, std::move(a)); });
-    put(Election::kKey, {{"node", "n0"}});
+    put(kLeaderKey, {{"node", "n0"}});
     records.start_term(revision);
   }
   void put(const std::string& key, const wire::Json& v) {
@@ -111,7 +111,7 @@
 }
 
 TEST_F(RecordStoreTest, FormerLeaderWritesNothing) {
-  put(Election::kKey, {{"node", "n1"}});
+  put(kLeaderKey, {{"node", "n1"}});
   bool durable = false;
   records.write("wk-1", chunk, state::Urgency::assignment, [&] { durable = true; });
   time.run_for(2000);
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -8,6 +8,7 @@
 
 #include "fakes/production_peer.capnp.h"
 #include "fakes/world.h"
+#include "leader/records/keys.h"
 #include "leader/records/task_record.h"
 #include "rpc/peer_link.h"
 
