--- a/src/state/client.h
+++ b/src/state/client.h
@@ -1,91 +1,20 @@
-// The actor that speaks to the state service: pacing, and outcomes told apart. It repeats nothing
-// by itself, since only the asker knows what a repeat would mean.
+// The actor that speaks to the state service, a consensus-backed key-value store: it paces requests
+// (request_queue.h), sends them, and tells their outcomes apart (protocol.h). It repeats nothing by
+// itself, since only the caller knows what a repeat would mean. All parts of a controller share
+// one, on the loop's thread; callbacks run on that thread, in general after the call has returned.
 #pragma once
 
-#include <deque>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <string>
-#include <vector>
 
 #include "net/runtime.h"
-#include "state/rate_limiter.h"
-#include "wire/codec.h"
+#include "state/protocol.h"
+#include "state/request_queue.h"
 
 namespace seampass::state {
 
-using Version = std::uint64_t;
-
-struct Item {
-  std::string key;
-  wire::Json value;
-  Version version = 0;
-  std::uint64_t lease = 0;
-};
-
-struct Condition {
-  std::string key;
-  Version version = 0;  // 0: the key does not exist
-};
-
-struct Change {
-  std::string key;
-  std::optional<wire::Json> value;  // none: delete
-  std::uint64_t lease = 0;
-};
-
-struct Txn {
-  std::vector<Condition> conditions;
-  std::vector<Change> changes;
-};
-
-enum class Outcome {
-  ok,
-  conflict,  // 409: nothing changed; `failed` names the keys
-  missing,   // 404, or a lease that ended
-  refused,   // certainly not executed: 429, 503, not sent
-  invalid,   // 400: not executed, and never will be as it is: too large, or its lease has ended
-  unknown,   // may have been executed, or may still be
-};
-
-struct TxnResult {
-  Outcome outcome = Outcome::unknown;
-  Version revision = 0;
-  std::vector<std::string> failed;
-};
-
-struct GetResult {
-  Outcome outcome = Outcome::unknown;
-  Item item;
-  Version revision = 0;
-};
-
-struct ListResult {
-  Outcome outcome = Outcome::unknown;
-  std::vector<Item> items;
-  bool more = false;
-  Version revision = 0;
-};
-
-struct Event {
-  std::string key;
-  std::optional<wire::Json> value;
-  Version version = 0;
-};
-
-struct WatchResult {
-  Outcome outcome = Outcome::unknown;  // missing: `since` is too old
-  Version revision = 0;
-  std::vector<Event> events;
-};
-
-struct LeaseResult {
-  Outcome outcome = Outcome::unknown;
-  std::uint64_t lease = 0;
-};
-
-// In order of danger when late.
-enum class Urgency { lease, final_status, assignment, progress };
-
 // What was asked of the service since this process began, and what became of it.
 struct Counters {
   std::uint64_t reads = 0, writes = 0, refused = 0, unknown = 0;
@@ -93,21 +22,26 @@
 
 class Client {
  public:
-  // share: of the service's limits, which all controllers draw on.
+  using Ticket = RequestQueue::Ticket;
+
+  // `rps`, `write_rps`: requests and changed keys a second, this controller's share of the
+  // service's limits. `timeout`: ms for which an ordinary answer is waited for.
   Client(net::Runtime& runtime, net::HttpCaller& http, std::string endpoint, double rps,
          double write_rps, net::Ms timeout);
 
   void get(const std::string& key, std::function<void(GetResult)> done,
            Urgency urgency = Urgency::final_status);
+  // One page of the keys that begin with `prefix`, from after the key `after`.
   void list(const std::string& prefix, const std::string& after,
             std::function<void(ListResult)> done);
-  // A name for the request while it waits for its turn.
-  using Ticket = std::uint64_t;
   Ticket txn(Txn txn, Urgency urgency, std::function<void(TxnResult)> done);
   // Takes a request back that was not sent yet: `done` is not called. False if it is too late.
-  bool withdraw(Ticket ticket);
+  [[nodiscard]] bool withdraw(Ticket ticket) { return queue_.withdraw(ticket); }
+  // What happened to the keys that begin with `prefix` after revision `since`; the answer comes
+  // with the first events, or without any after `wait` ms.
   void watch(const std::string& prefix, Version since, net::Ms wait,
              std::function<void(WatchResult)> done);
+  // `ttl`: ms, from when the service executes the request.
   void grant_lease(net::Ms ttl, std::function<void(LeaseResult)> done);
   void renew_lease(std::uint64_t lease, net::Ms timeout, std::function<void(Outcome)> done);
   void revoke_lease(std::uint64_t lease, std::function<void(Outcome)> done);
@@ -115,40 +49,29 @@
   // Whether the reads that answer one status query may be made now. Queries come as often as users
   // ask, so they get what the rest leaves: none while anything waits, and fewer once the service
   // refuses.
-  bool admit_query();
+  [[nodiscard]] bool admit_query() { return queue_.admit_query(); }
 
-  // How long a request of this urgency would wait for its turn now.
-  net::Ms backlog(Urgency urgency) const;
-  const Counters& counters() const { return counters_; }
-  // Requests that wait for their turn, those that write among them.
-  std::size_t waiting(bool writes) const;
+  // How long, in ms, a request of this urgency would wait for its turn now.
+  [[nodiscard]] net::Ms backlog(Urgency urgency) const { return queue_.backlog(urgency); }
+  [[nodiscard]] const Counters& counters() const { return counters_; }
+  // Requests that wait for their turn.
+  [[nodiscard]] std::size_t waiting(RequestKind kind) const { return queue_.waiting(kind); }
   // The last few requests all failed, or were refused.
-  bool seems_down() const { return failures_ >= 3; }
+  [[nodiscard]] bool seems_down() const { return consecutive_failures_ >= kFailuresWhenDown; }
 
  private:
-  struct Pending {
-    net::Call call;
-    int writes = 0;
-    net::ReplyFn done;
-    Ticket ticket = 0;
-  };
-  Ticket submit(Urgency urgency, net::Call call, int writes, net::ReplyFn done);
-  void pump();
-  void refill();
-  void send(Pending p);
+  static constexpr int kFailuresWhenDown = 3;
+
+  Ticket submit(Urgency urgency, Request request, net::Ms timeout, net::ReplyFn done,
+                int writes = 0);
+  void send(RequestQueue::Pending pending);
+  void on_reply(const net::Reply& reply);
 
-  net::Runtime& runtime_;
   net::HttpCaller& http_;
   std::string endpoint_;
   net::Ms timeout_;
-  TokenBucket requests_;
-  TokenBucket changes_;
-  TokenBucket queries_;
-  AdaptiveRate query_rate_;
-  std::deque<Pending> queues_[4];
-  net::TimerId timer_ = 0;
-  Ticket last_ticket_ = 0;
-  int failures_ = 0;
+  RequestQueue queue_;
+  int consecutive_failures_ = 0;
   Counters counters_;
 };
 
--- a/src/state/rate_limiter.h
+++ b/src/state/rate_limiter.h
@@ -1,4 +1,5 @@
 // Client-side rate limits: a token bucket, and a rate that follows what a shared service takes.
+// Plain values without timers: the caller says what time it is (net::Runtime::now, ms).
 #pragma once
 
 #include <algorithm>
@@ -7,20 +8,25 @@
 
 namespace seampass::state {
 
-// So many requests a second on average, with bursts of up to `burst` tokens.
+inline constexpr double kMsPerSecond = 1000.0;
+
+enum class ServiceAnswer { accepted, refused };
+
+// Allows `per_second` tokens on average, with bursts of up to `burst` tokens.
 class TokenBucket {
  public:
   TokenBucket(double per_second, double burst, net::Ms now)
       : per_second_(per_second), tokens_(burst), burst_(burst), refilled_(now) {}
 
   void refill(net::Ms now) {
-    const double seconds = static_cast<double>(now - refilled_) / 1000.0;
+    const double seconds = static_cast<double>(now - refilled_) / kMsPerSecond;
     refilled_ = now;
     tokens_ = std::min(burst_, tokens_ + seconds * per_second_);
   }
   void set_rate(double per_second) { per_second_ = per_second; }
-  double rate() const { return per_second_; }
-  bool has(double tokens) const { return tokens_ >= tokens; }
+  [[nodiscard]] double rate() const { return per_second_; }
+  // As of the last refill.
+  [[nodiscard]] bool has(double tokens) const { return tokens_ >= tokens; }
   // May go below zero: what comes next then waits for it.
   void take(double tokens) { tokens_ -= tokens; }
 
@@ -38,8 +44,8 @@
   AdaptiveRate(double most, net::Ms now) : most_(most), rate_(most), raised_(now), lowered_(now) {}
 
   // The rate now, after an answer of the service.
-  double on_answer(bool refused, net::Ms now) {
-    if (refused) {
+  [[nodiscard]] double on_answer(ServiceAnswer answer, net::Ms now) {
+    if (answer == ServiceAnswer::refused) {
       lower(now);
     } else {
       raise(now);
@@ -48,23 +54,27 @@
   }
 
  private:
-  // The full rate is regained within so long, from the least.
+  // From the least to the full rate.
   static constexpr double kRecoverySeconds = 10;
-  // The least, at which the client still finds out that the service is back.
+  // A pause between two answers counts as at most so long: nothing was learned meanwhile.
+  static constexpr double kLongestIncreaseSeconds = 1.0;
+  // The least rate, at which the client still finds out that the service is back.
   static constexpr double kLeastShare = 1.0 / 64;
+  static constexpr double kDecrease = 0.5;
   // Refusals that come together count once.
   static constexpr net::Ms kBetweenDecreases = 500;
 
   void raise(net::Ms now) {
-    const double seconds = static_cast<double>(now - raised_) / 1000.0;
+    const double seconds = static_cast<double>(now - raised_) / kMsPerSecond;
     raised_ = now;
-    rate_ = std::min(most_, rate_ + most_ * std::min(seconds, 1.0) / kRecoverySeconds);
+    rate_ = std::min(most_,
+                     rate_ + most_ * std::min(seconds, kLongestIncreaseSeconds) / kRecoverySeconds);
   }
   void lower(net::Ms now) {
     raised_ = now;
     if (now - lowered_ < kBetweenDecreases) return;
     lowered_ = now;
-    rate_ = std::max(most_ * kLeastShare, rate_ / 2);
+    rate_ = std::max(most_ * kLeastShare, rate_ * kDecrease);
   }
 
   double most_;
