--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -27,12 +27,13 @@
       cluster_(cluster),
       settings_(settings),
       operator_settings_(operator_settings),
-      records_(
-          runtime, state, settings.least_state_limits(),
-          {[this](const std::string& id, const RecordId& record) { return render(id, record); },
-           [this] { election_.step_down(audit::StepDownReason::fenced); },
-           [this](const std::string& id, wire::Stage stage) { on_ended(id, stage); },
-           [this] { cluster_.finalize(); }}),
+      records_(runtime, state, settings.least_state_limits(),
+               {.render = [this](const std::string& id,
+                                 const RecordId& record) { return render(id, record); },
+                .on_fenced = [this] { election_.step_down(audit::StepDownReason::fenced); },
+                .on_final_status_found = [this](const std::string& id,
+                                                wire::Stage stage) { on_ended(id, stage); },
+                .on_value_too_large = [this] { cluster_.finalize(); }}),
       fleet_(runtime, cloud, catalog, settings, operator_settings,
              [this](Machine& m) { forget_machine(m); }),
       layout_(cluster.spans()),
@@ -63,9 +64,11 @@
   fleet_.start_term(election_.epoch());
   layout_.use(Layout::chunks, cluster_.spans());
   // Records are read once it is known in which layouts they may be.
-  cluster_.start_term(election_.epoch(),
-                      {[this] { list_records(kOpenPrefix, "", true); }, [this] { use_segments(); },
-                       [this] { election_.step_down(audit::StepDownReason::fenced); }});
+  cluster_.start_term(
+      election_.epoch(),
+      {.on_loaded = [this] { list_records(kOpenPrefix, "", true); },
+       .on_finalized = [this] { use_segments(); },
+       .on_fenced = [this] { election_.step_down(audit::StepDownReason::fenced); }});
   tick();
 }
 
--- a/src/leader/records/cluster_version.cc
+++ b/src/leader/records/cluster_version.cc
@@ -2,7 +2,6 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
 #include <utility>
 
 #include "leader/records/keys.h"
@@ -23,37 +22,44 @@
       spans_(spans) {}
 
 void ClusterVersion::record_peer_version(const std::string& node, rpc::PeerVersion version) {
-  if (version < rpc::kVersionSegments || !known_.insert(node).second) return;
+  if (version < rpc::kVersionSegments || !upgraded_peers_.insert(node).second) return;
   try_finalize();
 }
 
-void ClusterVersion::start_term(std::uint64_t epoch, Hooks hooks) {
+void ClusterVersion::start_term(std::uint64_t epoch, Callbacks callbacks) {
   end_term();
   epoch_ = epoch;
-  hooks_ = std::move(hooks);
+  callbacks_ = std::move(callbacks);
   read();
 }
 
 void ClusterVersion::end_term() {
-  ++term_;
-  loaded_ = wanted_ = writing_ = finalized_ = false;
+  scope_.renew();
+  phase_ = Phase::unread;
+  finalize_requested_ = false;
   spans_ = own_spans_;
 }
 
 void ClusterVersion::finalize() {
-  wanted_ = true;
+  finalize_requested_ = true;
   try_finalize();
 }
 
+void ClusterVersion::read() {
+  state_.get(kClusterKey, scope_.wrap([this](const state::GetResult& result) {
+    if (result.outcome == Outcome::ok) return apply_record(result.item.value);
+    if (result.outcome == Outcome::missing) return on_absent();
+    read_later();
+  }));
+}
+
 void ClusterVersion::read_later() {
-  runtime_.after(retry_, [this, term = term_] {
-    if (term == term_) read();
-  });
+  runtime_.after(retry_, scope_.wrap([this] { read(); }));
 }
 
 // An unreadable record is not taken for none: whoever wrote it may use a layout that is not known
 // here. It is read again until it makes sense.
-void ClusterVersion::take(const Json& value) {
+void ClusterVersion::apply_record(const Json& value) {
   RecordSpans recorded;
   try {
     recorded.segment = static_cast<std::uint32_t>(wire::count_field(value, "segment_tasks"));
@@ -62,34 +68,30 @@
     spdlog::error("unreadable record {}: {}", kClusterKey, error.what());
   }
   if (recorded.segment == 0 || recorded.chunk == 0) return read_later();
-  writing_ = false;
   spans_ = recorded;
-  finalized_ = true;
-  const bool first = !std::exchange(loaded_, true);
-  const std::uint64_t term = term_;
-  hooks_.finalized();
-  if (first && term == term_) hooks_.loaded();
+  const bool first = phase_ == Phase::unread;
+  phase_ = Phase::finalized;
+  const auto term = scope_.period();
+  callbacks_.on_finalized();
+  if (first && term.current()) callbacks_.on_loaded();
 }
 
-void ClusterVersion::read() {
-  state_.get(kClusterKey, [this, term = term_](const state::GetResult& result) {
-    if (term != term_) return;
-    if (result.outcome == Outcome::ok) return take(result.item.value);
-    if (result.outcome != Outcome::missing) return read_later();
-    writing_ = false;
-    if (!std::exchange(loaded_, true)) hooks_.loaded();
-    if (term == term_) try_finalize();
-  });
+void ClusterVersion::on_absent() {
+  const bool first = phase_ == Phase::unread;
+  phase_ = Phase::absent;
+  const auto term = scope_.period();
+  if (first) callbacks_.on_loaded();
+  if (term.current()) try_finalize();
 }
 
 void ClusterVersion::try_finalize() {
-  if (!loaded_ || finalized_ || writing_) return;
-  if (!wanted_ && known_.size() < peers_) return;
+  if (phase_ != Phase::absent) return;
+  if (!finalize_requested_ && upgraded_peers_.size() < peers_) return;
   write();
 }
 
 void ClusterVersion::write() {
-  writing_ = true;
+  phase_ = Phase::writing;
   const Json value{{"version", rpc::kVersionSegments},
                    {"segment_tasks", own_spans_.segment},
                    {"chunk_tasks", own_spans_.chunk}};
@@ -97,19 +99,16 @@
   txn.conditions = {{kLeaderKey, epoch_}, {kClusterKey, 0}};
   txn.changes.push_back({kClusterKey, value, 0});
   state_.txn(std::move(txn), state::Urgency::final_status,
-             [this, term = term_, value](const state::TxnResult& result) {
-               if (term != term_) return;
+             scope_.wrap([this, value](const state::TxnResult& result) {
                if (result.outcome == Outcome::ok) {
                  spdlog::info("all controllers read segments of task records");
-                 return take(value);
+                 return apply_record(value);
                }
-               const auto& failed = result.failed;
-               if (result.outcome == Outcome::conflict &&
-                   std::find(failed.begin(), failed.end(), kLeaderKey) != failed.end())
-                 return hooks_.fenced();
+               if (result.outcome == Outcome::conflict && result.failed_on(kLeaderKey))
+                 return callbacks_.on_fenced();
                // Whether it was written is not known, or another's record is there.
                read_later();
-             });
+             }));
 }
 
 }  // namespace seampass::leader
--- a/src/leader/records/cluster_version.h
+++ b/src/leader/records/cluster_version.h
@@ -1,7 +1,11 @@
 // What all controllers are known to read. While an upgrade is under way, the leader writes only
 // what the older version reads too. Once every peer has said that it knows segments, or a user has
-// asked for what only the new version offers, this is recorded durably and never taken back; from
-// then on task records are written as segments, which fit smaller values.
+// asked for what only the new version offers, this is recorded durably (key `cluster`) and never
+// taken back: the cluster version is finalized. From then on task records are written as segments,
+// which fit smaller values.
+//
+// Owns the record and what peers have said of their versions. The Controller calls it within a
+// term, the peers' link at any time; all on the loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +16,7 @@
 
 #include "config/settings.h"
 #include "leader/records/record_layout.h"
+#include "net/callback_scope.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
 #include "state/client.h"
@@ -20,34 +25,47 @@
 
 class ClusterVersion {
  public:
-  struct Hooks {
-    std::function<void()> loaded;     // of this term: what is recorded is known
-    std::function<void()> finalized;  // of this term: segments may be written
-    std::function<void()> fenced;     // another leads
+  struct Callbacks {
+    std::function<void()> on_loaded;     // once a term: what is recorded is known
+    std::function<void()> on_finalized;  // at most once a term: segments may be written
+    std::function<void()> on_fenced;     // another leads
   };
 
+  // `spans`: those of this node's settings, recorded if it finalizes. `retry`: ms between two
+  // reads.
   ClusterVersion(net::Runtime& runtime, state::Client& state,
                  const std::vector<config::Peer>& peers, RecordSpans spans, net::Ms retry);
 
   // A message of this peer has said its version. Holds in every term: no node goes back.
   void record_peer_version(const std::string& node, rpc::PeerVersion version);
   // Whether this peer may be sent what only new versions know.
-  bool knows_segments(const std::string& node) const { return known_.contains(node); }
+  [[nodiscard]] bool knows_segments(const std::string& node) const {
+    return upgraded_peers_.contains(node);
+  }
 
   // A term of leadership begins: reads the record.
-  void start_term(std::uint64_t epoch, Hooks hooks);
+  void start_term(std::uint64_t epoch, Callbacks callbacks);
   void end_term();
-  // Something shows that all controllers are new: no peer need be heard any more.
+  // Something shows that all controllers are new: what the peers say is not waited for any more.
   void finalize();
-  bool finalized() const { return finalized_; }
-  const RecordSpans& spans() const { return spans_; }
+  [[nodiscard]] bool finalized() const { return phase_ == Phase::finalized; }
+  // Those that are recorded, once that is known; this node's own until then.
+  [[nodiscard]] const RecordSpans& spans() const { return spans_; }
 
  private:
+  enum class Phase {
+    unread,     // of this term
+    absent,     // the record was not there
+    writing,    // it is being written, or read back since the outcome is not known
+    finalized,  // it is there
+  };
+
   void read();
-  void write();
-  void try_finalize();
   void read_later();
-  void take(const wire::Json& value);
+  void apply_record(const wire::Json& value);
+  void on_absent();
+  void try_finalize();
+  void write();
 
   net::Runtime& runtime_;
   state::Client& state_;
@@ -55,14 +73,12 @@
   net::Ms retry_;
   RecordSpans own_spans_;
   RecordSpans spans_;
-  std::set<std::string> known_;
+  std::set<std::string> upgraded_peers_;
   std::uint64_t epoch_ = 0;
-  std::uint64_t term_ = 0;
-  bool loaded_ = false;
-  bool wanted_ = false;   // by something other than the peers' word
-  bool writing_ = false;  // or read back
-  bool finalized_ = false;
-  Hooks hooks_;
+  Phase phase_ = Phase::unread;
+  bool finalize_requested_ = false;  // by something other than what the peers say
+  Callbacks callbacks_;
+  net::CallbackScope scope_;  // of the term
 };
 
 }  // namespace seampass::leader
--- a/src/leader/records/record_store.cc
+++ b/src/leader/records/record_store.cc
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "jobs/final_status.h"
 #include "leader/audit_log.h"
@@ -12,36 +13,36 @@
 
 using state::Outcome;
 using state::Urgency;
+using Phase = Transmission::Phase;
+using FinalStatusState = JobWrites::FinalStatusState;
 
 namespace {
-constexpr std::size_t kTxnBytes = 56U << 10;  // of the service's 64 KiB
+
 constexpr net::Ms kRetry = 200;
-// The same again gets the same answer, unless the layout has changed meanwhile.
+// The same transaction gets the same answer again, unless the layout has changed meanwhile.
 constexpr net::Ms kRetryInvalid = 2000;
-}  // namespace
-
-void RecordStore::Record::mark_dirty(Urgency at_least) {
-  urgency = dirty ? std::min(urgency, at_least) : at_least;
-  dirty = true;
-}
-
-void RecordStore::Record::mark_unsent() {
-  sending = false;
-  dirty = true;
-}
 
-void RecordStore::Record::move_waiters_to(std::vector<std::function<void()>>& list) {
-  for (auto& waiter : waiters) list.push_back(std::move(waiter));
-  waiters.clear();
-}
+}  // namespace
 
 RecordStore::RecordStore(net::Runtime& runtime, state::Client& state,
-                         const config::StateLimits& limits, Hooks hooks)
-    : runtime_(runtime), state_(state), limits_(limits), hooks_(std::move(hooks)) {}
+                         const config::StateLimits& limits, Callbacks callbacks)
+    : runtime_(runtime),
+      state_(state),
+      limits_(limits),
+      callbacks_(std::move(callbacks)),
+      read_back_(runtime, state, *this, kRetry) {}
 
 void RecordStore::start_term(std::uint64_t epoch) {
+  clear();
   epoch_ = epoch;
-  ++term_;
+}
+
+void RecordStore::end_term() { clear(); }
+
+void RecordStore::clear() {
+  epoch_.reset();
+  scope_.renew();
+  read_back_.cancel();
   jobs_.clear();
   outcome_unknown_.clear();
 }
@@ -52,303 +53,232 @@
 
 void RecordStore::write(const std::string& job, const RecordId& id, Urgency urgency,
                         std::function<void()> durable) {
-  Record& r = jobs_[job].records[id];
-  r.mark_dirty(urgency);
-  if (durable) r.waiters.push_back(std::move(durable));
+  RecordState& record = jobs_[job].records[id];
+  record.mark_dirty(urgency);
+  if (durable) record.waiters.push_back(std::move(durable));
   withdraw_less_urgent(job, urgency);
   flush(job);
 }
 
 void RecordStore::replace(const std::string& job, const RecordId& old,
                           const std::vector<RecordId>& with) {
-  Entry& entry = jobs_[job];
-  Record& gone = entry.records[old];
-  const Urgency urgency = gone.dirty ? gone.urgency : Urgency::progress;
-  gone.dirty = gone.replaced = true;
-  for (const RecordId& id : with) entry.records[id].mark_dirty(urgency);
+  JobWrites& writes = jobs_[job];
+  RecordState& replaced = writes.records[old];
+  const Urgency urgency = replaced.dirty ? replaced.urgency : Urgency::progress;
+  replaced.dirty = replaced.replaced = true;
+  for (const RecordId& id : with) writes.records[id].mark_dirty(urgency);
   flush(job);
 }
 
 void RecordStore::write_final_status(const std::string& job, state::Version open_version,
                                      wire::Stage stage, std::uint64_t done, Urgency urgency,
                                      std::function<void(wire::Stage)> durable) {
-  jobs_[job].ending = FinalStatus{open_version, stage, done, urgency, std::move(durable)};
+  JobWrites& writes = jobs_[job];
+  writes.final_status_state = FinalStatusState::pending;
+  writes.final_status = {open_version, stage, done, urgency, std::move(durable)};
   withdraw_less_urgent(job, urgency);
   flush(job);
 }
 
-// A transaction of the job that still waits for its turn is taken back, to go with what is more
-// urgent: that would wait for it otherwise, for as long as the service takes all that it can.
-void RecordStore::withdraw_less_urgent(const std::string& job, Urgency urgency) {
-  Entry& e = jobs_.at(job);
-  if (!e.busy || e.ticket == 0 || urgency >= e.urgency || !state_.withdraw(e.ticket)) return;
-  for (const RecordId& id : e.sent) e.records[id].mark_unsent();
-  e.ticket = 0;
-  e.busy = false;
-}
-
-bool RecordStore::settled(const std::string& job, const RecordId& id) const {
-  const auto j = jobs_.find(job);
-  if (j == jobs_.end()) return true;
-  const auto r = j->second.records.find(id);
-  return r == j->second.records.end() || (!r->second.dirty && !r->second.sending);
+const JobWrites& RecordStore::writes_of(const std::string& job) const {
+  static const JobWrites kNothingKnown;
+  const auto entry = jobs_.find(job);
+  return entry == jobs_.end() ? kNothingKnown : entry->second;
 }
 
-bool RecordStore::settled(const std::string& job) const {
-  const auto j = jobs_.find(job);
-  if (j == jobs_.end()) return true;
-  if (j->second.busy || j->second.ending) return false;
-  return std::all_of(j->second.records.begin(), j->second.records.end(),
-                     [](const auto& r) { return !r.second.exists(); });
+std::vector<std::string> RecordStore::jobs_writing(Layout layout) const {
+  std::vector<std::string> jobs;
+  for (const auto& [job, writes] : jobs_)
+    if (writes.writing(layout)) jobs.push_back(job);
+  return jobs;
 }
 
-std::vector<RecordId> RecordStore::records(const std::string& job) const {
-  std::vector<RecordId> list;
-  const auto j = jobs_.find(job);
-  if (j != jobs_.end())
-    for (const auto& [id, r] : j->second.records)
-      if (r.exists()) list.push_back(id);
-  return list;
+void RecordStore::forget(const std::string& job) {
+  jobs_.erase(job);
+  outcome_unknown_.erase(job);
 }
 
-std::optional<RecordId> RecordStore::chunk_in_use(const std::string& job) const {
-  const auto j = jobs_.find(job);
-  if (j == jobs_.end()) return std::nullopt;
-  // (Chunks come after the segments.)
-  const auto& records = j->second.records;
-  const auto chunk =
-      std::find_if(records.lower_bound({Layout::chunks, 0}), records.end(),
-                   [](const auto& r) { return !r.second.replaced && r.second.exists(); });
-  if (chunk == records.end()) return std::nullopt;
-  return chunk->first;
-}
+// ---- Sending ----
 
-std::vector<std::string> RecordStore::jobs_writing(Layout layout) const {
-  std::vector<std::string> list;
-  for (const auto& [job, entry] : jobs_)
-    if (std::any_of(entry.records.begin(), entry.records.end(), [&](const auto& r) {
-          return r.first.layout == layout && (r.second.dirty || r.second.sending);
-        }))
-      list.push_back(job);
-  return list;
+// A transaction of the job that still waits for its turn is withdrawn, to go with what is more
+// urgent. Otherwise the urgent write would wait for it, which can be long when the service is at
+// its limits.
+void RecordStore::withdraw_less_urgent(const std::string& job, Urgency urgency) {
+  JobWrites& writes = jobs_.at(job);
+  Transmission& transmission = writes.transmission;
+  if (transmission.phase != Phase::withdrawable || urgency >= transmission.urgency) return;
+  if (!state_.withdraw(transmission.ticket)) return;
+  for (const RecordId& id : transmission.records) writes.records[id].mark_unsent();
+  transmission.phase = Phase::idle;
 }
 
 void RecordStore::schedule_flush(const std::string& job, net::Ms pause) {
-  const std::uint64_t term = term_;
-  runtime_.after(pause, [this, term, job] {
-    if (term == term_) flush(job);
-  });
+  runtime_.after(pause, scope_.wrap([this, job] { flush(job); }));
 }
 
 void RecordStore::flush(const std::string& job) {
-  const auto it = jobs_.find(job);
-  if (it == jobs_.end() || it->second.busy || epoch_ == 0) return;
+  const auto entry = jobs_.find(job);
+  if (entry == jobs_.end() || !entry->second.transmission.idle() || !epoch_) return;
   if (settle_unneeded(job)) return flush(job);
-
-  Batch batch;
-  // A late transaction of a former leader fails here.
-  batch.txn.conditions.push_back({kLeaderKey, epoch_});
-  append_final_status(job, batch);
-  add_records(job, batch);
+  WriteBatch batch =
+      WriteBatchBuilder(job, *epoch_, limits_).build(entry->second, callbacks_.render);
   if (!batch.txn.changes.empty()) send(job, std::move(batch));
 }
 
-// Records that are neither there nor wanted need no write. True if there were any: who waited for
-// them may have changed everything.
+// Records that are neither in the store nor wanted need no write. True if somebody waited for one:
+// who waited may have changed everything.
 bool RecordStore::settle_unneeded(const std::string& job) {
-  Entry& e = jobs_.at(job);
-  const bool others = std::any_of(e.records.begin(), e.records.end(), [](const auto& r) {
-    return r.second.dirty && !r.second.replaced;
-  });
+  auto& records = jobs_.at(job).records;
+  const bool replacements_waiting =
+      std::any_of(records.begin(), records.end(),
+                  [](const auto& entry) { return entry.second.dirty && !entry.second.replaced; });
   std::vector<std::function<void()>> waiters;
-  for (auto& [id, r] : e.records) {
-    if (!r.dirty || r.version != 0) continue;
-    if (r.replaced ? others : hooks_.render(job, id).has_value()) continue;
-    r.dirty = r.replaced = false;
-    r.move_waiters_to(waiters);
+  for (auto& [id, record] : records) {
+    if (!record.dirty || record.version != 0) continue;
+    const bool needed =
+        record.replaced ? replacements_waiting : callbacks_.render(job, id).has_value();
+    if (needed) continue;
+    record.dirty = record.replaced = false;
+    record.move_waiters_to(waiters);
   }
-  const std::uint64_t term = term_;
+  const auto term = scope_.period();
   for (const auto& waiter : waiters)
-    if (term == term_) waiter();
+    if (term.current()) waiter();
   return !waiters.empty();
 }
 
-void RecordStore::append_final_status(const std::string& job, Batch& batch) const {
-  const Entry& e = jobs_.at(job);
-  if (!e.ending) return;
-  batch.has_final_status = true;
-  batch.urgency = e.ending->urgency;
-  batch.txn.conditions.push_back({final_status_key(job), 0});
-  batch.txn.conditions.push_back({open_key(job), e.ending->open_version});
-  batch.txn.changes.push_back(
-      {final_status_key(job), jobs::encode({e.ending->stage, e.ending->done}), 0});
-  batch.txn.changes.push_back({open_key(job), std::nullopt, 0});
+void RecordStore::send(const std::string& job, WriteBatch batch) {
+  Transmission& transmission = jobs_.at(job).transmission;
+  transmission.phase = Phase::committed;
+  transmission.urgency = batch.urgency;
+  transmission.records.clear();
+  for (const auto& [id, present] : batch.records) transmission.records.push_back(id);
+  state::Txn txn = std::move(batch.txn);
+  // One with a final status is never withdrawn: its outcome is unknown from when it is sent.
+  const bool withdrawable = !batch.has_final_status;
+  Sent sent{std::move(batch), outcome_unknown_.contains(job)};
+  if (!withdrawable) outcome_unknown_.insert(job);
+  const auto ticket =
+      state_.txn(std::move(txn), transmission.urgency,
+                 scope_.wrap([this, job, sent = std::move(sent)](const state::TxnResult& result) {
+                   if (jobs_.contains(job)) on_result(job, sent, result);
+                 }));
+  const auto entry = jobs_.find(job);
+  if (!withdrawable || entry == jobs_.end()) return;
+  Transmission& waiting = entry->second.transmission;
+  if (waiting.phase != Phase::committed) return;
+  waiting.phase = Phase::withdrawable;
+  waiting.ticket = ticket;
 }
 
-void RecordStore::add_records(const std::string& job, Batch& batch) {
-  Entry& e = jobs_.at(job);
-  std::size_t bytes = 1024;
-  for (auto& [id, r] : e.records) {
-    if (!r.dirty) continue;
-    // (What is replaced comes last, so that what replaces it is durable or in this transaction.)
-    if (static_cast<int>(batch.txn.changes.size()) >= limits_.txn_ops) break;
-    auto value = r.replaced ? std::nullopt : hooks_.render(job, id);
-    const std::size_t size = value ? value->dump().size() + 100 : 100;
-    if (bytes + size > kTxnBytes && !batch.txn.changes.empty()) break;
-    bytes += size;
-    batch.outgrown = batch.outgrown || static_cast<double>(size) > limits_.value_kb * 1024;
-    const std::string key = work_key(job, id);
-    auto& conditions = batch.txn.conditions;
-    conditions.push_back({key, r.version});
-    batch.ids.push_back(id);
-    batch.present.push_back(value.has_value());
-    // No start after a cancellation was answered, whoever answered it; and no record that was
-    // cleared with its job comes back by a late copy of its first write (both find version 0).
-    if ((r.urgency == Urgency::assignment || r.version == 0) && !batch.has_final_status &&
-        !e.ended && (conditions.size() < 2 || conditions[1].key != final_status_key(job)))
-      conditions.insert(conditions.begin() + 1, {final_status_key(job), 0});
-    batch.urgency = std::min(batch.urgency, r.urgency);
-    batch.txn.changes.push_back({key, std::move(value), 0});
-    r.dirty = false;
-    r.sending = true;
-  }
+// ---- Outcomes ----
+
+void RecordStore::on_result(const std::string& job, const Sent& sent,
+                            const state::TxnResult& result) {
+  JobWrites& writes = jobs_.at(job);
+  writes.transmission.phase = Phase::committed;
+  if (result.outcome == Outcome::ok) return on_batch_applied(job, sent.batch, result.revision);
+  for (const auto& [id, present] : sent.batch.records) writes.records[id].mark_unsent();
+  if (result.outcome == Outcome::refused || result.outcome == Outcome::invalid)
+    return on_batch_not_executed(job, sent, result.outcome);
+  on_batch_uncertain(job, sent.batch, result);
 }
 
-void RecordStore::send(const std::string& job, Batch batch) {
-  Entry& e = jobs_.at(job);
-  e.busy = true;
-  const bool doubt = outcome_unknown_.contains(job);
-  if (batch.has_final_status) outcome_unknown_.insert(job);
-  state::Txn txn = std::move(batch.txn);
-  e.urgency = batch.urgency;
-  e.sent = batch.ids;
-  e.ticket = 0;
-  // (One with a final status is never taken back: from when it is sent that is in doubt.)
-  const bool keep = batch.has_final_status;
-  const auto ticket = state_.txn(
-      std::move(txn), e.urgency,
-      [this, term = term_, job, batch = std::move(batch), doubt](const state::TxnResult& t) {
-        if (term != term_ || !jobs_.contains(job)) return;
-        jobs_.at(job).ticket = 0;
-        if (t.outcome == Outcome::ok) return on_batch_applied(job, batch, t.revision);
-        on_batch_failed(job, batch, doubt, t);
-      });
-  const auto entry = jobs_.find(job);
-  if (!keep && entry != jobs_.end() && entry->second.busy) entry->second.ticket = ticket;
+void RecordStore::on_batch_not_executed(const std::string& job, const Sent& sent, Outcome outcome) {
+  jobs_.at(job).transmission.phase = Phase::idle;
+  if (!sent.outcome_unknown_before) outcome_unknown_.erase(job);
+  if (outcome == Outcome::refused) return schedule_flush(job, kRetry);
+  spdlog::error("the state service takes no record of {} in this form", job);
+  schedule_flush(job, kRetryInvalid);
+  if (sent.batch.outgrown) callbacks_.on_value_too_large();
 }
 
-void RecordStore::on_batch_failed(const std::string& job, const Batch& batch, bool doubt,
-                                  const state::TxnResult& result) {
-  Entry& e = jobs_.at(job);
-  for (const RecordId& id : batch.ids) e.records[id].mark_unsent();
-  if (result.outcome == Outcome::refused || result.outcome == Outcome::invalid) {
-    e.busy = false;
-    if (!doubt) outcome_unknown_.erase(job);  // this one was certainly not carried out
-    if (result.outcome == Outcome::refused) return schedule_flush(job, kRetry);
-    spdlog::error("the state service takes no record of {} in this form", job);
-    schedule_flush(job, kRetryInvalid);
-    if (batch.outgrown) hooks_.rejected();
-    return;
-  }
-  const auto names = [&result](const std::string& key) {
-    return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
-  };
-  if (result.outcome == Outcome::conflict && names(kLeaderKey)) return hooks_.fenced();
-  read_back(job, batch.ids, batch.has_final_status || names(final_status_key(job)));
+// The outcome is not known, or a version is not the one that was expected: what the store holds is
+// read, and writing goes on from that.
+void RecordStore::on_batch_uncertain(const std::string& job, const WriteBatch& batch,
+                                     const state::TxnResult& result) {
+  if (result.outcome == Outcome::conflict && result.failed_on(kLeaderKey))
+    return callbacks_.on_fenced();
+  Transmission& transmission = jobs_.at(job).transmission;
+  transmission.phase = Phase::reading_back;
+  std::vector<RecordId> ids = transmission.records;
+  if (batch.has_final_status || result.failed_on(final_status_key(job)))
+    read_back_.read_final_status_and_records(job, std::move(ids));
+  else
+    read_back_.read_records(job, std::move(ids));
 }
 
-void RecordStore::on_batch_applied(const std::string& job, const Batch& batch,
+void RecordStore::on_batch_applied(const std::string& job, const WriteBatch& batch,
                                    state::Version version) {
-  Entry& e = jobs_.at(job);
-  e.busy = false;
-  std::vector<std::function<void()>> ready;
-  for (std::size_t i = 0; i < batch.ids.size(); ++i) {
-    Record& r = e.records[batch.ids[i]];
-    r.sending = false;
-    r.version = batch.present[i] ? version : 0;
-    if (batch.present[i]) audit::record_durable(job, batch.ids[i], version);
+  JobWrites& writes = jobs_.at(job);
+  writes.transmission.phase = Phase::idle;
+  std::vector<std::function<void()>> waiters;
+  for (const auto& [id, present] : batch.records) {
+    RecordState& record = writes.records[id];
+    record.sending = false;
+    record.version = present ? version : 0;
+    if (present) audit::record_durable(job, id, version);
     // A waiter that came while this was on its way belongs to the next write.
-    if (r.dirty) continue;
-    r.replaced = false;
-    r.move_waiters_to(ready);
+    if (record.dirty) continue;
+    record.replaced = false;
+    record.move_waiters_to(waiters);
   }
-  std::function<void(wire::Stage)> ended;
+  std::function<void(wire::Stage)> final_status_waiter;
   wire::Stage stage = wire::Stage::done;
-  if (batch.has_final_status && e.ending) {
-    stage = e.ending->stage;
+  if (batch.has_final_status && writes.final_status_pending()) {
+    stage = writes.final_status.stage;
     audit::final_status(job, stage, version);
-    ended = set_ended(job);
-  }
-  const std::uint64_t term = term_;
-  if (ended) ended(stage);
-  for (const auto& w : ready)
-    if (term == term_) w();
-  if (term == term_) flush(job);
-}
-
-// Not known, or a version that is not what we thought: read what is there, then go on from it.
-void RecordStore::read_back(const std::string& job, std::vector<RecordId> ids,
-                            bool with_final_status) {
-  const auto current = [this, term = term_, job] { return term == term_ && jobs_.contains(job); };
-  const auto again = [this, job, current](std::vector<RecordId> left, bool with_final_status) {
-    runtime_.after(kRetry, [this, job, current, left = std::move(left), with_final_status] {
-      if (current()) read_back(job, left, with_final_status);
-    });
-  };
-  if (with_final_status) {
-    state_.get(final_status_key(job), [this, job, ids, current, again](const state::GetResult& g) {
-      if (!current()) return;
-      if (g.outcome != Outcome::ok && g.outcome != Outcome::missing) return again(ids, true);
-      if (g.outcome == Outcome::ok && !apply_final_status(job, g.item)) return again(ids, true);
-      if (current()) read_back(job, ids, false);
-    });
-    return;
-  }
-  if (ids.empty()) {
-    jobs_.at(job).busy = false;
-    return schedule_flush(job, kRetry);
+    final_status_waiter = set_final_status_durable(job);
   }
-  const RecordId id = ids.back();
-  state_.get(work_key(job, id), [this, job, ids, id, current, again](const state::GetResult& g) {
-    if (!current()) return;
-    if (g.outcome != Outcome::ok && g.outcome != Outcome::missing) return again(ids, false);
-    jobs_.at(job).records[id].version = g.outcome == Outcome::ok ? g.item.version : 0;
-    auto rest = ids;
-    rest.pop_back();
-    read_back(job, rest, false);
-  });
+  const auto term = scope_.period();
+  if (final_status_waiter) final_status_waiter(stage);
+  for (const auto& waiter : waiters)
+    if (term.current()) waiter();
+  if (term.current()) flush(job);
 }
 
-std::function<void(wire::Stage)> RecordStore::set_ended(const std::string& job) {
-  Entry& e = jobs_.at(job);
-  std::function<void(wire::Stage)> durable;
-  if (e.ending) durable = std::move(e.ending->durable);
-  e.ending.reset();
-  e.ended = true;
+std::function<void(wire::Stage)> RecordStore::set_final_status_durable(const std::string& job) {
+  JobWrites& writes = jobs_.at(job);
+  writes.final_status_state = FinalStatusState::durable;
   outcome_unknown_.erase(job);
-  return durable;
+  return std::exchange(writes.final_status, {}).durable;
 }
 
-// The first final status stands, ours or another's. One that can't be read is neither `done`, by
-// which dependents would start, nor `withdrawn`: the outcome stays unknown and the record is read
-// again.
-bool RecordStore::apply_final_status(const std::string& job, const state::Item& item) {
-  if (jobs_.at(job).ended) return true;
+// ---- Reading back ----
+
+bool RecordStore::tracks(const std::string& job) const { return jobs_.contains(job); }
+
+// The first final status stands, ours or another's. One that can't be read is taken neither for
+// `done`, by which dependents would start, nor for `withdrawn`: the outcome stays unknown.
+ReadBack::Listener::Readable RecordStore::on_final_status_read(const std::string& job,
+                                                               const state::Item& item) {
+  if (jobs_.at(job).final_status_durable()) return Readable::yes;
   wire::Stage stage = wire::Stage::done;
   try {
     stage = jobs::decode_final_status(item.value).stage;
   } catch (const wire::Malformed& error) {
-    spdlog::error("unreadable record {}, {} stands still: {}", item.key, job, error.what());
+    spdlog::error("unreadable record {}, the outcome of {} stays unknown: {}", item.key, job,
+                  error.what());
     outcome_unknown_.insert(job);
-    return false;
+    return Readable::no;
   }
-  const std::function<void(wire::Stage)> ended = set_ended(job);
+  const std::function<void(wire::Stage)> waiter = set_final_status_durable(job);
   audit::final_status(job, stage, item.version);
-  if (ended)
-    ended(stage);
+  if (waiter)
+    waiter(stage);
   else
-    hooks_.final_status_found(job, stage);
-  return true;
+    callbacks_.on_final_status_found(job, stage);
+  return Readable::yes;
+}
+
+void RecordStore::on_record_read(const std::string& job, const RecordId& id,
+                                 state::Version version) {
+  jobs_.at(job).records[id].version = version;
+}
+
+void RecordStore::on_read_back(const std::string& job) {
+  jobs_.at(job).transmission.phase = Phase::idle;
+  schedule_flush(job, kRetry);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/records/task_record.cc
+++ b/src/leader/records/task_record.cc
@@ -1,5 +1,8 @@
 #include "leader/records/task_record.h"
 
+#include <string_view>
+#include <utility>
+
 namespace seampass::leader {
 
 using wire::Json;
@@ -8,25 +11,27 @@
 namespace {
 
 constexpr std::uint32_t kBitsPerDigit = 4;
+constexpr unsigned kDecimalDigits = 10;
+constexpr std::size_t kAssignmentFields = 4;
 
 // The bits as hexadecimal digits, the first bit lowest in its digit; empty if none is set.
 std::string hex_from(const std::vector<bool>& bits) {
-  static constexpr char digits[] = "0123456789abcdef";
-  std::string out;
+  static constexpr std::string_view digits = "0123456789abcdef";
+  std::string hex;
   bool any = false;
   for (std::size_t first = 0; first < bits.size(); first += kBitsPerDigit) {
     unsigned digit = 0;
     for (std::size_t bit = 0; bit < kBitsPerDigit && first + bit < bits.size(); ++bit)
       if (bits[first + bit]) digit |= 1U << bit;
     any = any || digit != 0;
-    out.push_back(digits[digit]);
+    hex.push_back(digits[digit]);
   }
-  return any ? out : std::string();
+  return any ? hex : std::string();
 }
 
-unsigned digit_from(char c) {
-  if (c >= '0' && c <= '9') return static_cast<unsigned>(c - '0');
-  if (c >= 'a' && c <= 'f') return static_cast<unsigned>(c - 'a') + 10;
+unsigned digit_from(char digit) {
+  if (digit >= '0' && digit <= '9') return static_cast<unsigned>(digit - '0');
+  if (digit >= 'a' && digit <= 'f') return static_cast<unsigned>(digit - 'a') + kDecimalDigits;
   throw Malformed("finished: not hexadecimal");
 }
 
@@ -50,21 +55,35 @@
 }
 
 Assignment assignment_from(const Json& item, std::uint32_t job_tasks) {
-  const bool well_formed = item.is_array() && item.size() == 4 && item[0].is_number_unsigned() &&
-                           item[1].is_number_unsigned() && item[2].is_string() &&
-                           item[3].is_number_unsigned();
+  const bool well_formed = item.is_array() && item.size() == kAssignmentFields &&
+                           item[0].is_number_unsigned() && item[1].is_number_unsigned() &&
+                           item[2].is_string() && item[3].is_number_unsigned();
   if (!well_formed || item[0].get<std::uint64_t>() >= job_tasks)
     throw Malformed("tasks: bad assignment");
   return {item[0].get<std::uint32_t>(), item[1].get<std::uint64_t>(), item[2].get<std::string>(),
           item[3].get<std::uint64_t>()};
 }
 
+std::vector<Assignment> assignments_from(const Json& value, std::uint32_t job_tasks) {
+  const auto items = value.find("tasks");
+  if (items == value.end() || !items->is_array()) throw Malformed("tasks: not a list");
+  std::vector<Assignment> assignments;
+  for (const Json& item : *items) assignments.push_back(assignment_from(item, job_tasks));
+  return assignments;
+}
+
+TaskRange stored_range(const Json& value) {
+  const std::uint32_t first = task_count(value, "first");
+  return {first, first + task_count(value, "span")};
+}
+
 }  // namespace
 
 Json encode(const TaskRecord& record) {
   Json tasks = Json::array();
-  for (const Assignment& a : record.assignments)
-    tasks.push_back({a.task, a.attempt, a.machine, a.incarnation});
+  for (const Assignment& assignment : record.assignments)
+    tasks.push_back(
+        {assignment.task, assignment.attempt, assignment.machine, assignment.incarnation});
   // "span" is not read by the versions that know chunks alone.
   Json value{{"attempt", record.last_attempt},
              {"tasks", std::move(tasks)},
@@ -74,7 +93,7 @@
              {"memory", record.request.memory_gb},
              {"of", record.job_tasks},
              {"first", record.range.first},
-             {"span", record.range.end - record.range.first}};
+             {"span", record.range.size()}};
   std::string finished = hex_from(record.finished);
   if (!finished.empty()) value["finished"] = std::move(finished);
   return value;
@@ -89,20 +108,14 @@
   record.request = {wire::amount_field(value, "cpus"), wire::amount_field(value, "gpus"),
                     wire::amount_field(value, "memory")};
   record.job_tasks = task_count(value, "of");
-  if (value.contains("span")) {
-    record.range.first = task_count(value, "first");
-    record.range.end = record.range.first + task_count(value, "span");
-  } else {
-    record.range = layout.range(id, record.job_tasks);
-  }
+  // Records of versions that know chunks alone have no span.
+  record.range = value.contains("span") ? stored_range(value) : layout.range(id, record.job_tasks);
   if (record.range.end > record.job_tasks) throw Malformed("span: out of range");
-  const auto items = value.find("tasks");
-  if (items == value.end() || !items->is_array()) throw Malformed("tasks: not a list");
-  for (const Json& item : *items)
-    record.assignments.push_back(assignment_from(item, record.job_tasks));
-  const std::string finished =
-      value.contains("finished") ? wire::text_field(value, "finished") : std::string();
-  record.finished = bits_from(finished, record.range.end - record.range.first);
+  record.assignments = assignments_from(value, record.job_tasks);
+  if (value.contains("finished"))
+    record.finished = bits_from(wire::text_field(value, "finished"), record.range.size());
+  else
+    record.finished.assign(record.range.size(), false);
   return record;
 }
 
--- a/src/leader/records/task_record.h
+++ b/src/leader/records/task_record.h
@@ -1,4 +1,6 @@
-// What a durable record holds of the tasks in its range, and its form in the state service.
+// What a durable record, work/<job>/<record>, holds of the tasks in its range, and its form in the
+// state service: the one place that writes and reads it. Both layouts have the same form; they
+// differ in how the range of tasks is found. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +24,7 @@
 struct TaskRecord {
   RecordId id;
   TaskRange range;
-  std::uint64_t last_attempt = 0;  // of the job
+  std::uint64_t last_attempt = 0;  // the greatest number that an attempt of the job has had
   std::string team;
   sched::Resources request;     // of each task
   std::uint32_t job_tasks = 0;  // of the whole job
@@ -30,11 +32,11 @@
   std::vector<bool> finished;  // by task, from the first of the range
 };
 
-wire::Json encode(const TaskRecord& record);
+[[nodiscard]] wire::Json encode(const TaskRecord& record);
 
-// Throws wire::Malformed. `layout` tells the span of a chunk that does not say it itself, as those
-// written by older versions.
-TaskRecord decode_task_record(const RecordId& id, const wire::Json& value,
-                              const RecordLayout& layout);
+// Throws wire::Malformed, which names the field; the caller knows the key. `layout` tells the span
+// of a record that does not say it itself, as the chunks that older versions wrote.
+[[nodiscard]] TaskRecord decode_task_record(const RecordId& id, const wire::Json& value,
+                                            const RecordLayout& layout);
 
 }  // namespace seampass::leader
--- /dev/null
+++ b/src/leader/records/write_batch.cc
@@ -0,0 +1,84 @@
+#include "leader/records/write_batch.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "jobs/final_status.h"
+#include "leader/records/keys.h"
+
+namespace seampass::leader {
+
+namespace {
+
+constexpr std::size_t kMaxTxnBytes = 56U << 10;  // of the service's 64 KiB
+// Bytes that are reserved for the conditions and the final status, and for each record's key.
+constexpr std::size_t kTxnOverheadBytes = 1024;
+constexpr std::size_t kRecordOverheadBytes = 100;
+constexpr double kBytesPerKb = 1024;
+
+}  // namespace
+
+WriteBatchBuilder::WriteBatchBuilder(const std::string& job, std::uint64_t epoch,
+                                     const config::StateLimits& limits)
+    : job_(job), limits_(limits), bytes_(kTxnOverheadBytes) {
+  // A late transaction of a former leader fails here.
+  batch_.txn.conditions.push_back({kLeaderKey, epoch});
+}
+
+WriteBatch WriteBatchBuilder::build(JobWrites& writes, const RenderRecord& render) {
+  if (writes.final_status_pending()) add_final_status(writes.final_status);
+  for (auto& [id, record] : writes.records) {
+    if (!record.dirty) continue;
+    // What is replaced comes last, so that what replaces it is durable or in this transaction.
+    if (all_operations_used()) break;
+    auto value = record.replaced ? std::nullopt : render(job_, id);
+    if (add_record(id, record, std::move(value)) == Added::full) break;
+    // No start is recorded after a cancellation was answered, whoever answered it; and no record
+    // that was cleared with its job comes back by a late copy of its first write (both find
+    // version 0).
+    const bool may_outlive_job =
+        record.urgency == state::Urgency::assignment || record.version == 0;
+    if (may_outlive_job && !writes.final_status_durable()) require_no_final_status();
+    record.dirty = false;
+    record.sending = true;
+  }
+  return std::move(batch_);
+}
+
+void WriteBatchBuilder::add_final_status(const PendingFinalStatus& status) {
+  const std::string key = final_status_key(job_);
+  batch_.has_final_status = true;
+  batch_.urgency = status.urgency;
+  batch_.txn.conditions.push_back({key, 0});
+  batch_.txn.conditions.push_back({open_key(job_), status.open_version});
+  batch_.txn.changes.push_back({key, jobs::encode({status.stage, status.done}), 0});
+  batch_.txn.changes.push_back({open_key(job_), std::nullopt, 0});
+}
+
+WriteBatchBuilder::Added WriteBatchBuilder::add_record(const RecordId& id,
+                                                       const RecordState& record,
+                                                       std::optional<wire::Json> value) {
+  const std::size_t size = kRecordOverheadBytes + (value ? value->dump().size() : 0);
+  // A record that is too large for any transaction is sent alone, and refused by the service.
+  if (bytes_ + size > kMaxTxnBytes && !batch_.txn.changes.empty()) return Added::full;
+  bytes_ += size;
+  batch_.outgrown = batch_.outgrown || static_cast<double>(size) > limits_.value_kb * kBytesPerKb;
+  const std::string key = work_key(job_, id);
+  batch_.txn.conditions.push_back({key, record.version});
+  batch_.records.push_back({id, value.has_value()});
+  batch_.urgency = std::min(batch_.urgency, record.urgency);
+  batch_.txn.changes.push_back({key, std::move(value), 0});
+  return Added::yes;
+}
+
+bool WriteBatchBuilder::all_operations_used() const {
+  return static_cast<int>(batch_.txn.changes.size()) >= limits_.txn_ops;
+}
+
+void WriteBatchBuilder::require_no_final_status() {
+  if (batch_.has_final_status || std::exchange(requires_no_final_status_, true)) return;
+  auto& conditions = batch_.txn.conditions;
+  conditions.insert(conditions.begin() + 1, {final_status_key(job_), 0});
+}
+
+}  // namespace seampass::leader
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -20,10 +20,11 @@
         http(net, "n0", process.alive()),
         client(process, http, "state:1", 1000, 1000, 500),
         records(process, client, {1000, 1000, 8, 10},
-                {[this](const std::string&, const RecordId&) { return value; },
-                 [this] { fenced = true; },
-                 [this](const std::string&, wire::Stage) { ended_elsewhere = true; },
-                 [this] { rejected = true; }}) {
+                {.render = [this](const std::string&, const RecordId&) { return value; },
+                 .on_fenced = [this] { fenced = true; },
+                 .on_final_status_found = [this](const std::string&,
+                                                 wire::Stage) { ended_elsewhere = true; },
+                 .on_value_too_large = [this] { rejected = true; }}) {
     net.serve("state:1",
               [this](const net::Request& r, net::Answer a) { service.handle(r, std::move(a)); });
     put(kLeaderKey, {{"node", "n0"}});
@@ -92,8 +93,10 @@
 TEST_F(RecordStoreTest, AnEndDoesNotWaitForProgressOfItsJob) {
   state::Client slow(process, http, "state:1", 1000, 4, 500);
   RecordStore busy(process, slow, {1000, 4, 8, 10},
-                   {[this](const std::string&, const RecordId&) { return value; }, [] {},
-                    [](const std::string&, wire::Stage) {}, [] {}});
+                   {.render = [this](const std::string&, const RecordId&) { return value; },
+                    .on_fenced = [] {},
+                    .on_final_status_found = [](const std::string&, wire::Stage) {},
+                    .on_value_too_large = [] {}});
   busy.start_term(revision);
   for (int i = 10; i < 40; ++i)
     busy.write("wk-" + std::to_string(i), chunk, state::Urgency::assignment);
