--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -116,13 +116,13 @@
   status(id, Purpose::poll, [answer](const rpc::JobReply& a) {
     if (a.lookup == rpc::Lookup::unavailable) return answer(later("state not available"));
     if (a.lookup == rpc::Lookup::not_found) return answer(refusal(404, "no such job"));
-    answer({200, wire::to_json(a.status), 0});
+    answer({200, wire::status_answer(a.status), 0});
   });
 }
 
 void ApiHandler::cancel(const std::string& id, const Answer& answer) {
   if (const auto v = status_reader_.final_status(id))
-    return answer({200, wire::accepted_json(*v), 0});
+    return answer({200, wire::accepted_answer(*v), 0});
   // Only the leader ends jobs, so that none of its answers can be older than the final status.
   ask_leader({0, id, true, ""}, net::ms(settings_.heartbeat_interval_s),
              [answer](const rpc::JobReply& a) {
@@ -132,7 +132,7 @@
                if (a.status.stage != wire::Stage::cancelled && a.status.stage != wire::Stage::done)
                  return answer(later("not decided yet"));
                audit::answer(a.status, AnswerBasis::leader);
-               answer({200, wire::accepted_json(a.status), 0});
+               answer({200, wire::accepted_answer(a.status), 0});
              });
 }
 
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -63,7 +63,7 @@
   }
   const std::string id = job.id;
   if (const auto v = status_reader_.final_status(id))
-    return answer({200, wire::accepted_json(*v), 0});
+    return answer({200, wire::accepted_answer(*v), 0});
   if (!catalog_.known()) return answer(later("machine types not known yet"));
   const wire::Json record = leader::Controller::open_record(job, runtime_.wall());
   std::string why = impossible(job);
@@ -87,7 +87,7 @@
                                         const wire::JobStatus& status, const state::Item&) {
     if (found == JobStatusReader::Lookup::unavailable) return answer(later("state not available"));
     if (found == JobStatusReader::Lookup::not_found) return answer(refusal(422, why));
-    answer({200, wire::accepted_json(status), 0});
+    answer({200, wire::accepted_answer(status), 0});
   });
 }
 
@@ -98,7 +98,7 @@
     wire::JobStatus status = accepted.status;
     // One that depends on a cancelled job is accepted all the same, and cancelled with it.
     if (accepted.fresh && cancelled) status.stage = wire::Stage::cancelled;
-    answer({accepted.fresh ? 201 : 200, wire::accepted_json(status), 0});
+    answer({accepted.fresh ? 201 : 200, wire::accepted_answer(status), 0});
   });
 }
 
--- a/tests/formats_messages_test.cc
+++ b/tests/formats_messages_test.cc
@@ -12,20 +12,20 @@
 
 TEST(Formats, TellsUsersTheStatusOfAJobAsBefore) {
   using wire::Stage;
-  EXPECT_EQ(wire::to_json({"wk-8801", Stage::queued, 0, 0}),
+  EXPECT_EQ(wire::status_answer({"wk-8801", Stage::queued, 0, 0}),
             R"({"done":0,"ref":"wk-8801","running":0,"stage":"queued"})");
-  EXPECT_EQ(wire::to_json({"wk-8801", Stage::running, 4, 3}),
+  EXPECT_EQ(wire::status_answer({"wk-8801", Stage::running, 4, 3}),
             R"({"done":4,"ref":"wk-8801","running":3,"stage":"running"})");
-  EXPECT_EQ(wire::to_json({"wk-8801", Stage::done, 12, 0}),
+  EXPECT_EQ(wire::status_answer({"wk-8801", Stage::done, 12, 0}),
             R"({"done":12,"ref":"wk-8801","running":0,"stage":"done"})");
-  EXPECT_EQ(wire::to_json({"wk-8801", Stage::cancelled, 5, 0}),
+  EXPECT_EQ(wire::status_answer({"wk-8801", Stage::cancelled, 5, 0}),
             R"({"done":5,"ref":"wk-8801","running":0,"stage":"withdrawn"})");
 }
 
 TEST(Formats, TellsUsersOfAnAcceptanceAsBefore) {
-  EXPECT_EQ(wire::accepted_json({"wk-8801", wire::Stage::queued, 4, 3}),
+  EXPECT_EQ(wire::accepted_answer({"wk-8801", wire::Stage::queued, 4, 3}),
             R"({"ref":"wk-8801","stage":"queued"})");
-  EXPECT_EQ(wire::accepted_json({"wk-8801", wire::Stage::cancelled, 4, 3}),
+  EXPECT_EQ(wire::accepted_answer({"wk-8801", wire::Stage::cancelled, 4, 3}),
             R"({"ref":"wk-8801","stage":"withdrawn"})");
 }
 
