--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-// A node's share of the state service's limits. The leader makes nearly all changes; what the
-// others make, and what is refused now and then, fits into the rest.
+// A node's share of the state service's limits. The leader makes nearly all
+// changes; what the others make, and what is refused now and then, fits into
+// the rest.
 constexpr double kStoreRequests = 0.7;
 constexpr double kStoreChanges = 0.8;
 
 leader::ElectionTimes times_of(const config::Settings& s) {
-  // A sixth of a worker's lease: a take-over leaves workers most of theirs. The grace leaves a
-  // whole report interval as margin.
+  // A sixth of a worker's lease: a take-over leaves workers most of theirs. The
+  // grace leaves a whole report interval as margin.
   return {ms(s.lease_s / 6), ms(s.cancel_s - s.lease_s - s.heartbeat_interval_s / 3),
           ms(2 * s.lease_s)};
 }
@@ -49,8 +50,14 @@
                   workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
                                   static_cast<std::size_t>(settings_.fd_limit) / 16),
                   election_, status_reader_, cluster_, settings_, operator_settings_),
-      api_(runtime, state_, catalog_, election_, controller_, status_reader_, cluster_, peers,
-           settings_) {}
+      leader_client_(runtime, election_, controller_, status_reader_, peers, settings_),
+      job_status_finder_(status_reader_, leader_client_),
+      acceptance_(state_, election_, controller_, job_status_finder_, leader_client_, peers),
+      submissions_(runtime, state_, catalog_, status_reader_, job_status_finder_, acceptance_,
+                   settings_),
+      queries_(status_reader_, job_status_finder_, leader_client_),
+      api_(catalog_, election_, controller_, submissions_, queries_),
+      peer_messages_(peers, election_, controller_, cluster_, acceptance_, leader_client_) {}
 
 void Node::announce(rpc::PeerTransport& peers, std::uint64_t round) {
   for (const config::Peer& p : settings_.peers) {
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -1,11 +1,18 @@
-// One controller, wired: every actor over an injected clock and injected transports.
+// One controller, wired: every actor over an injected clock and injected
+// transports.
 #pragma once
 
 #include "cloud/client.h"
 #include "cloud/machine_catalog.h"
 #include "config/settings.h"
 #include "jobs/api_handler.h"
+#include "jobs/job_acceptance.h"
+#include "jobs/job_queries.h"
+#include "jobs/job_status_finder.h"
 #include "jobs/job_status_reader.h"
+#include "jobs/leader_client.h"
+#include "jobs/peer_message_handler.h"
+#include "jobs/submissions.h"
 #include "leader/controller.h"
 #include "leader/election/election.h"
 #include "leader/records/cluster_version.h"
@@ -21,8 +28,8 @@
        config::Settings settings, config::OperatorSettings operator_settings);
 
   void start();
-  void handle(const net::Request& request, net::Answer answer) {
-    api_.handle(request, std::move(answer));
+  void handle(const net::Request& request, const net::Answer& answer) {
+    api_.handle(request, answer);
   }
   const leader::Election& election() const { return election_; }
 
@@ -39,7 +46,13 @@
   leader::Election election_;
   leader::ClusterVersion cluster_;
   leader::Controller controller_;
+  jobs::LeaderClient leader_client_;
+  jobs::JobStatusFinder job_status_finder_;
+  jobs::JobAcceptance acceptance_;
+  jobs::Submissions submissions_;
+  jobs::JobQueries queries_;
   jobs::ApiHandler api_;
+  jobs::PeerMessageHandler peer_messages_;
 };
 
 }  // namespace seampass::app
--- a/src/jobs/job_status_reader.h
+++ b/src/jobs/job_status_reader.h
@@ -1,15 +1,17 @@
-// Jobs as the state service knows them, behind a bounded cache of final statuses, which never
-// change.
+// Jobs as the state service knows them, behind a bounded cache of final statuses. One for each
+// node; the handlers of users' requests and the leader's parts call it on the node's loop. `done`
+// is called once, and perhaps before the call returns.
 #pragma once
 
+#include <cstddef>
 #include <functional>
-#include <list>
-#include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
-#include <vector>
 
+#include "jobs/final_status_cache.h"
+#include "jobs/job_lookup.h"
+#include "jobs/stored_job_reader.h"
+#include "jobs/upstream_walk.h"
 #include "state/client.h"
 #include "wire/types.h"
 
@@ -17,50 +19,32 @@
 
 class JobStatusReader {
  public:
-  // `open` is said only of a job none of whose dependencies, direct or not, was read as cancelled:
-  // such a job counts as cancelled itself, whether that is written or not.
-  enum class Lookup { ended, open, not_found, unavailable };
+  using Source = FinalStatusCache::Source;
+  using Done = std::function<void(const JobLookup&)>;
 
-  JobStatusReader(state::Client& state, std::size_t most) : state_(state), most_(most) {}
+  JobStatusReader(state::Client& state, std::size_t max_cached)
+      : state_(state), cache_(max_cached), reader_(state, cache_) {}
 
-  // Whether the job's own end is known to be in the store, or only that of a job which it depends
-  // on, from which its own follows.
-  enum class Source { written, derived };
-
-  // The final status, if it is in the cache.
-  std::optional<wire::JobStatus> final_status(const std::string& job);
+  // The job's final status, if it is in the cache.
+  [[nodiscard]] std::optional<wire::JobStatus> final_status(const std::string& job) {
+    return cache_.find(job);
+  }
   // Whether it is there, and known to be written.
-  bool written(const std::string& job) const;
-  void remember(const wire::JobStatus& status, Source source);
-
-  using Done = std::function<void(Lookup, const wire::JobStatus&, const state::Item& open)>;
+  [[nodiscard]] bool written(const std::string& job) const { return cache_.written(job); }
+  void remember(const wire::JobStatus& status, Source source) { cache_.remember(status, source); }
 
-  // For a status query: `cannot` at once if the state service has nothing left for it.
+  // For a status query: `unavailable` at once if the state service has nothing left for it.
   void query(const std::string& job, const Done& done);
   void read(const std::string& job, const Done& done);
   // For a job that has probably ended: one request if it has.
-  void read_ended(const std::string& job, Done done);
+  void read_ended(const std::string& job, const Done& done);
 
  private:
-  enum class Purpose { query, other };
-  struct UpstreamWalk;
-
-  using OnOpen = std::function<void(const state::Item& open, const std::vector<std::string>&)>;
-
-  void read_open(const std::string& job, Purpose purpose, const Done& done);
-  // Looks under both keys: `on_open` gets an open job with its dependencies, `otherwise` the rest.
-  void read_record(const std::string& job, OnOpen on_open, Done otherwise);
-  void read_final(const std::string& job, Done done);
-  void walk_upstream(const std::shared_ptr<UpstreamWalk>& walk);
+  void read_open(const std::string& job, UpstreamWalk::Budget budget, const Done& done);
 
   state::Client& state_;
-  std::size_t most_;
-  struct Entry {
-    wire::JobStatus status;
-    Source source = Source::written;
-  };
-  std::list<Entry> order_;  // the least recently used last
-  std::unordered_map<std::string, std::list<Entry>::iterator> cache_;
+  FinalStatusCache cache_;
+  StoredJobReader reader_;
 };
 
 }  // namespace seampass::jobs
--- /dev/null
+++ b/src/jobs/peer_message_handler.h
@@ -0,0 +1,38 @@
+// Handles what the other controllers send to this one: hands each kind of message to the part that
+// it is meant for, and replies. Owns no state; the peer transport calls it on this node's loop.
+#pragma once
+
+#include <string>
+
+#include "jobs/job_acceptance.h"
+#include "jobs/leader_client.h"
+#include "leader/controller.h"
+#include "leader/election/election.h"
+#include "leader/records/cluster_version.h"
+#include "rpc/peer.h"
+
+namespace seampass::jobs {
+
+class PeerMessageHandler {
+ public:
+  // From now on it is what `peers` delivers to.
+  PeerMessageHandler(rpc::PeerTransport& peers, leader::Election& election,
+                     leader::Controller& controller, leader::ClusterVersion& cluster,
+                     JobAcceptance& acceptance, LeaderClient& leader_client);
+
+ private:
+  void receive(const std::string& from, const rpc::JobAccepted& accepted);
+  void receive(const std::string& from, const rpc::JobRequest& request);
+  void receive(const std::string& from, const rpc::JobReply& reply);
+  void receive(const std::string& from, const rpc::LeaderAnnouncement& announcement);
+  void receive(const std::string& from, const rpc::EpochConfirmation& confirmation);
+
+  rpc::PeerTransport& peers_;
+  leader::Election& election_;
+  leader::Controller& controller_;
+  leader::ClusterVersion& cluster_;
+  JobAcceptance& acceptance_;
+  LeaderClient& leader_client_;
+};
+
+}  // namespace seampass::jobs
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -1,152 +1,87 @@
-// The ApiHandler's submissions: which jobs are taken, and how they become durable.
-#include <algorithm>
-#include <memory>
-#include <set>
+#include "jobs/submissions.h"
 
-#include "jobs/api_handler.h"
-#include "jobs/responses.h"
-#include "leader/records/keys.h"
-#include "sched/snapshot.h"
+#include "jobs/dependency_check.h"
+#include "jobs/http_answers.h"
+#include "leader/controller.h"
+#include "wire/user_codec.h"
 
 namespace seampass::jobs {
 
 using net::Answer;
-using state::Outcome;
 
-namespace {
-// Of the largest value that the state service takes: it may count bytes in another way than we do.
-constexpr double kValueShare = 0.9;
-}  // namespace
+Submissions::Submissions(net::Runtime& runtime, state::Client& state,
+                         const cloud::MachineCatalog& catalog, JobStatusReader& status_reader,
+                         JobStatusFinder& finder, JobAcceptance& acceptance,
+                         const config::Settings& settings)
+    : runtime_(runtime),
+      state_(state),
+      catalog_(catalog),
+      status_reader_(status_reader),
+      finder_(finder),
+      acceptance_(acceptance),
+      admission_(settings),
+      max_backlog_(net::ms(settings.heartbeat_interval_s / 3)) {}
 
-ApiHandler::Dependencies ApiHandler::dependency_state(const rpc::JobReply& answer) {
-  if (answer.lookup == rpc::Lookup::unavailable) return Dependencies::undecided;
-  // (Only a read of the store says so.)
-  if (answer.lookup == rpc::Lookup::not_found) return Dependencies::never_accepted;
-  return answer.status.stage == wire::Stage::cancelled ? Dependencies::cancelled
-                                                       : Dependencies::accepted;
-}
-
-std::string ApiHandler::impossible(const wire::Job& job) const {
-  const config::Team* team = settings_.team(job.team);
-  if (!team) return "unknown team";
-  if (std::find(job.dependencies.begin(), job.dependencies.end(), job.id) != job.dependencies.end())
-    return "it depends on itself";
-  std::set<std::string> zones;  // where a task fits an allowed type
-  for (const auto& [name, t] : catalog_.types())
-    for (const std::string& zone : t.zones)
-      if (sched::fits_empty(t, job) && (!job.zone || *job.zone == zone)) zones.insert(zone);
-  if (zones.empty()) return "a task fits no allowed machine type";
-  // What must run all at once, and at most half of it in one zone.
-  if (job.kind != wire::JobKind::array && job.spread && job.tasks > 1 &&
-      (job.one_zone || zones.size() < 2))
-    return "its tasks may not be in one zone, and fit no other";
-  // An array runs if one task does; gangs and services need all at once.
-  const double n = job.kind == wire::JobKind::array ? 1 : job.tasks;
-  constexpr double slack = 1e-6;
-  if ((team->cpus_max > 0 && n * job.cpus > team->cpus_max + slack) ||
-      (team->gpus_max > 0 && n * job.gpus > team->gpus_max + slack))
-    return "over the team's limit";
-  return {};
-}
-
-// What the state service will not take can't be kept, and so can't be accepted.
-bool ApiHandler::storable(const wire::Json& record) const {
-  const double kb = settings_.least_state_limits().value_kb;
-  return static_cast<double>(record.dump().size()) <= kValueShare * kb * 1024;
-}
-
-void ApiHandler::submit(const net::Request& request, const Answer& answer) {
+void Submissions::submit(const net::Request& request, const Answer& answer) {
   wire::Job job;
   try {
     job = wire::job_from(wire::parse_object(request.body));
-  } catch (const wire::Malformed& e) {
-    return answer(refusal(400, e.what()));
+  } catch (const wire::Malformed& error) {
+    return answer(refusal(400, error.what()));
   }
-  const std::string id = job.id;
-  if (const auto v = status_reader_.final_status(id))
-    return answer({200, wire::accepted_answer(*v), 0});
-  if (!catalog_.known()) return answer(later("machine types not known yet"));
-  const wire::Json record = leader::Controller::open_record(job, runtime_.wall());
-  std::string why = impossible(job);
-  if (why.empty() && !storable(record)) why = "too large to be stored";
-  if (!why.empty()) return refuse(id, why, answer);
-  // More waits for the store than it can take before the user would give up.
-  if (state_.backlog(state::Urgency::final_status) > net::ms(settings_.heartbeat_interval_s / 3))
-    return answer(later("busy"));
-  if (job.dependencies.empty()) return accept_new(id, record, false, answer);
-  check_dependencies(job.dependencies, [this, id, record, answer](Dependencies found) {
-    if (found == Dependencies::undecided) return answer(later("dependencies not known yet"));
-    if (found == Dependencies::never_accepted)
-      return refuse(id, "it depends on a job that was never accepted", answer);
-    accept_new(id, record, found == Dependencies::cancelled, answer);
-  });
+  submit(job, answer);
 }
 
-// A job that was accepted once stays so, whatever the settings, types or other jobs say by now.
-void ApiHandler::refuse(const std::string& id, const std::string& why, const Answer& answer) {
-  status_reader_.read(id, [answer, why](JobStatusReader::Lookup found,
-                                        const wire::JobStatus& status, const state::Item&) {
-    if (found == JobStatusReader::Lookup::unavailable) return answer(later("state not available"));
-    if (found == JobStatusReader::Lookup::not_found) return answer(refusal(422, why));
-    answer({200, wire::accepted_answer(status), 0});
-  });
+void Submissions::submit(const wire::Job& job, const Answer& answer) {
+  if (const auto known = status_reader_.final_status(job.id))
+    return answer({200, wire::accepted_answer(*known), 0});
+  if (!catalog_.known()) return answer(unavailable("machine types not known yet"));
+  const wire::Json record = leader::Controller::open_record(job, runtime_.wall());
+  if (const auto rejection = admission_.rejection(job, record, catalog_.types()))
+    return reject(job.id, *rejection, answer);
+  // More waits for the store than it can take before the user would stop waiting.
+  if (state_.backlog(state::Urgency::final_status) > max_backlog_)
+    return answer(unavailable("busy"));
+  if (job.dependencies.empty()) return accept(job.id, record, Fate::runs, answer);
+  check_dependencies_and_accept(job, record, answer);
 }
 
-void ApiHandler::accept_new(const std::string& id, const wire::Json& record, bool cancelled,
-                            const Answer& answer) {
-  accept(id, record, true, [answer, cancelled](const rpc::JobReply& accepted) {
-    if (accepted.lookup != rpc::Lookup::found) return answer(later("state not available"));
-    wire::JobStatus status = accepted.status;
-    // One that depends on a cancelled job is accepted all the same, and cancelled with it.
-    if (accepted.fresh && cancelled) status.stage = wire::Stage::cancelled;
-    answer({accepted.fresh ? 201 : 200, wire::accepted_answer(status), 0});
-  });
+void Submissions::check_dependencies_and_accept(const wire::Job& job, const wire::Json& record,
+                                                const Answer& answer) {
+  check_dependencies(finder_, job.dependencies,
+                     [this, id = job.id, record, answer](DependencyState dependencies) {
+                       switch (dependencies) {
+                         case DependencyState::accepted:
+                           return accept(id, record, Fate::runs, answer);
+                         case DependencyState::cancelled:
+                           return accept(id, record, Fate::cancelled_with_dependency, answer);
+                         case DependencyState::undecided:
+                           return answer(unavailable("dependencies not known yet"));
+                         case DependencyState::never_accepted:
+                           return reject(id, "it depends on a job that was never accepted", answer);
+                       }
+                     });
 }
 
-// All are asked about at once.
-void ApiHandler::check_dependencies(const std::vector<std::string>& jobs,
-                                    std::function<void(Dependencies)> reply) {
-  struct Check {
-    std::size_t left = 0;
-    Dependencies worst = Dependencies::accepted;
-    std::function<void(Dependencies)> reply;
-  };
-  const auto check = std::make_shared<Check>();
-  check->left = jobs.size();
-  check->reply = std::move(reply);
-  for (const std::string& job : jobs) {
-    status(job, Purpose::acceptance, [check](const rpc::JobReply& answer) {
-      check->worst = std::max(check->worst, dependency_state(answer));
-      if (--check->left == 0) check->reply(check->worst);
-    });
-  }
+// A job that was accepted once stays so, whatever the settings, types or other jobs say by now.
+void Submissions::reject(const std::string& job, const std::string& reason, const Answer& answer) {
+  status_reader_.read(job, [answer, reason](const JobLookup& found) {
+    if (found.lookup == Lookup::unavailable) return answer(unavailable("state not available"));
+    if (found.lookup == Lookup::not_found) return answer(refusal(422, reason));
+    answer({200, wire::accepted_answer(found.status), 0});
+  });
 }
 
-void ApiHandler::accept(const std::string& id, const wire::Json& record, bool forward,
-                        const Reply& reply) {
-  const auto elsewhere = [this, id, forward, reply](const std::string& text) {
-    if (!forward || election_.leading()) return reply({});
-    ask_leader({0, id, false, text}, net::ms(settings_.heartbeat_interval_s / 5), reply);
-  };
-  if (forward && state_.seems_down() && !election_.leading()) return elsewhere(record.dump());
-  state::Txn txn;
-  txn.conditions = {{leader::open_key(id), 0}, {leader::final_status_key(id), 0}};
-  txn.changes.push_back({leader::open_key(id), record, 0});
-  state_.txn(std::move(txn), state::Urgency::final_status,
-             [this, id, record, elsewhere, reply](const state::TxnResult& t) {
-               if (t.outcome == Outcome::conflict) return status(id, Purpose::acceptance, reply);
-               // Not known, or not done: the transaction can be tried again from anywhere.
-               if (t.outcome != Outcome::ok) return elsewhere(record.dump());
-               rpc::JobReply a;
-               a.lookup = rpc::Lookup::found;
-               a.status.id = id;
-               a.fresh = true;
-               reply(a);
-               if (election_.leading())
-                 controller_.on_job_accepted(id, record, t.revision);
-               else if (!election_.leader().empty())
-                 peers_.send(election_.leader(), rpc::JobAccepted{id, record.dump(), t.revision});
-             });
+void Submissions::accept(const std::string& job, const wire::Json& record, Fate fate,
+                         const Answer& answer) {
+  acceptance_.accept(job, record, Forwarding::allowed, [answer, fate](const rpc::JobReply& reply) {
+    if (reply.lookup != rpc::Lookup::found) return answer(unavailable("state not available"));
+    wire::JobStatus status = reply.status;
+    // A job that depends on a cancelled one is accepted all the same, and cancelled with it.
+    if (reply.fresh && fate == Fate::cancelled_with_dependency)
+      status.stage = wire::Stage::cancelled;
+    answer({reply.fresh ? 201 : 200, wire::accepted_answer(status), 0});
+  });
 }
 
 }  // namespace seampass::jobs
--- /dev/null
+++ b/src/jobs/submissions.h
@@ -0,0 +1,49 @@
+// Answers POST /api/jobs: validates the job, looks at what it depends on, and has it accepted. Owns
+// no state; the ApiHandler calls it.
+#pragma once
+
+#include <string>
+
+#include "cloud/machine_catalog.h"
+#include "config/settings.h"
+#include "jobs/job_acceptance.h"
+#include "jobs/job_admission.h"
+#include "jobs/job_status_finder.h"
+#include "jobs/job_status_reader.h"
+#include "net/http_server.h"
+#include "net/runtime.h"
+#include "state/client.h"
+#include "wire/json_fields.h"
+
+namespace seampass::jobs {
+
+class Submissions {
+ public:
+  Submissions(net::Runtime& runtime, state::Client& state, const cloud::MachineCatalog& catalog,
+              JobStatusReader& status_reader, JobStatusFinder& finder, JobAcceptance& acceptance,
+              const config::Settings& settings);
+
+  void submit(const net::Request& request, const net::Answer& answer);
+
+ private:
+  // What becomes of a job once it is accepted.
+  enum class Fate { runs, cancelled_with_dependency };
+
+  void submit(const wire::Job& job, const net::Answer& answer);
+  void check_dependencies_and_accept(const wire::Job& job, const wire::Json& record,
+                                     const net::Answer& answer);
+  void reject(const std::string& job, const std::string& reason, const net::Answer& answer);
+  void accept(const std::string& job, const wire::Json& record, Fate fate,
+              const net::Answer& answer);
+
+  net::Runtime& runtime_;
+  state::Client& state_;
+  const cloud::MachineCatalog& catalog_;
+  JobStatusReader& status_reader_;
+  JobStatusFinder& finder_;
+  JobAcceptance& acceptance_;
+  JobAdmission admission_;
+  net::Ms max_backlog_;
+};
+
+}  // namespace seampass::jobs
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -101,8 +101,9 @@
   return Json{{"job", wire::to_json(job)}, {"created_ms", created_ms}};
 }
 
-// A job that was accepted before the listing is in it, or has ended under a former leader: news of
-// it is a late copy, and would bring it back. (Without the news the watch tells of it.)
+// A job that was accepted before the listing is in it, or has ended under a
+// former leader: news of it is a late copy, and would bring it back. (Without
+// the news the watch tells of it.)
 void Controller::on_job_accepted(const std::string& id, const Json& record,
                                  state::Version version) {
   if (listed_ != 0 && version > listed_) apply_open_record(id, record, version);
@@ -111,9 +112,10 @@
 void Controller::apply_open_record(const std::string& id, const Json& record,
                                    state::Version version) {
   if (!active_ || jobs_.contains(id)) return;
-  // News of an acceptance can be older than the job's end. (A final status that has left this cache
-  // is still found: the transaction that would assign its tasks compares ends/<id>. One that
-  // depends on a cancelled job may be known as cancelled before its end is written.)
+  // News of an acceptance can be older than the job's end. (A final status that
+  // has left this cache is still found: the transaction that would assign its
+  // tasks compares ends/<id>. One that depends on a cancelled job may be known
+  // as cancelled before its end is written.)
   if (status_reader_.written(id)) return;
   auto job = std::make_unique<JobRecord>();
   try {
@@ -168,8 +170,8 @@
   if (it != jobs_.end() && !(it->second->ended && it->second->stage == wire::Stage::queued)) {
     JobRecord& job = *it->second;
     if (job.ended || upstream_cancelled(job)) return reply(status_of(job));
-    // A final status whose transaction is out may have been read by another node already: until
-    // this one knows, only the store can tell.
+    // A final status whose transaction is out may have been read by another
+    // node already: until this one knows, only the store can tell.
     if (!cancel && (records_.outcome_unknown(id) || !upstream_certain(id))) return reply({});
     if (!cancel) return reply(status_of(job));
     job.waiters.push_back(std::move(reply));
@@ -184,18 +186,15 @@
     return;
   }
   const std::uint64_t term = term_;
-  const auto found = [this, term, id, cancel, reply = std::move(reply)](
-                         jobs::JobStatusReader::Lookup result, const wire::JobStatus& status,
-                         const state::Item& open) {
+  const auto found = [this, term, id, cancel,
+                      reply = std::move(reply)](const jobs::JobLookup& job) {
     rpc::JobReply a;
-    if (term != term_ || !ready() || result == jobs::JobStatusReader::Lookup::unavailable)
-      return reply(a);
-    a.status = status;
-    a.lookup = result == jobs::JobStatusReader::Lookup::not_found ? rpc::Lookup::not_found
-                                                                  : rpc::Lookup::found;
-    if (result != jobs::JobStatusReader::Lookup::open) return reply(a);
+    if (term != term_ || !ready() || job.lookup == jobs::Lookup::unavailable) return reply(a);
+    a.status = job.status;
+    a.lookup = job.lookup == jobs::Lookup::not_found ? rpc::Lookup::not_found : rpc::Lookup::found;
+    if (job.lookup != jobs::Lookup::open) return reply(a);
     // Accepted, and the news had not come yet.
-    apply_open_record(id, open.value, open.version);
+    apply_open_record(id, job.open.value, job.open.version);
     if (!jobs_.contains(id)) return reply({});
     handle_job_request(id, cancel, reply);
   };
@@ -203,9 +202,10 @@
   status_reader_.query(id, found);
 }
 
-// Its user wants it cancelled: all of it is stopped, and nobody is told of a cancellation before it
-// is off everywhere. So whoever leads next, whatever is refused, lost or late then: no task is left
-// that would have to be stopped, and no start that would have to be caught.
+// Its user wants it cancelled: all of it is stopped, and nobody is told of a
+// cancellation before it is off everywhere. So whoever leads next, whatever is
+// refused, lost or late then: no task is left that would have to be stopped,
+// and no start that would have to be caught.
 void Controller::cancel_job(JobRecord& job) {
   job.ending = true;
   job.reservations.clear();
@@ -219,7 +219,8 @@
   job.reservations.clear();
   const std::string id = job.spec.id;
   const bool done = job.finished_count == job.spec.tasks;
-  // What is cancelled with another follows from that one's end: nobody waits for its own.
+  // What is cancelled with another follows from that one's end: nobody waits
+  // for its own.
   const Urgency urgency = upstream_cancelled(job) ? Urgency::progress : Urgency::final_status;
   records_.write_final_status(id, job.open_version,
                               done ? wire::Stage::done : wire::Stage::cancelled, job.finished_count,
@@ -237,14 +238,15 @@
   for (const auto& w : std::exchange(job.waiters, {})) w(answer);
   stop_all(job, 0, audit::StopReason::job_over);
   erase_if_settled(id);
-  // Only now that it is durable: the next leader must not find a dependent at work on a job that it
-  // does not know to be done, or queued behind one that is cancelled.
+  // Only now that it is durable: the next leader must not find a dependent at
+  // work on a job that it does not know to be done, or queued behind one that
+  // is cancelled.
   dependencies_.on_final_status(id, stage);
   request_pass();
 }
 
-// A job that was called off ends once every task is off; an ended one stays until then, and until
-// its records are gone.
+// A job that was called off ends once every task is off; an ended one stays
+// until then, and until its records are gone.
 void Controller::erase_if_settled(const std::string& id) {
   JobRecord* job = find_job(id);
   // (An unreadable record may hold attempts that are at work.)
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -7,7 +7,7 @@
 
 namespace seampass::leader {
 
-using Lookup = jobs::JobStatusReader::Lookup;
+using jobs::Lookup;
 
 DependencyTracker::DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader,
                                      net::Ms retry, Hooks hooks)
@@ -49,28 +49,27 @@
     if (reading_.insert(job).second) read(job);
 }
 
-// Neither done nor cancelled until the store says so: whatever depends on it waits.
+// Neither done nor cancelled until the store says so: whatever depends on it
+// waits.
 void DependencyTracker::read(const std::string& job) {
-  status_reader_.read_ended(job,
-                            [this, term = term_, job](Lookup found, const wire::JobStatus& status,
-                                                      const state::Item& open) {
-                              if (term != term_) return;
-                              if (found == Lookup::ended) {
-                                reading_.erase(job);
-                                return on_final_status(job, status.stage);
-                              }
-                              if (found == Lookup::open) {
-                                reading_.erase(job);
-                                return hooks_.found_open(job, open);
-                              }
-                              if (found == Lookup::not_found)
-                                spdlog::error("{} is depended on, and not in the store", job);
-                              runtime_.after(retry_, [this, term, job] {
-                                if (term != term_) return;
-                                if (graph_.unknown().contains(job)) return read(job);
-                                reading_.erase(job);
-                              });
-                            });
+  status_reader_.read_ended(job, [this, term = term_, job](const jobs::JobLookup& found) {
+    if (term != term_) return;
+    if (found.lookup == Lookup::ended) {
+      reading_.erase(job);
+      return on_final_status(job, found.status.stage);
+    }
+    if (found.lookup == Lookup::open) {
+      reading_.erase(job);
+      return hooks_.found_open(job, found.open);
+    }
+    if (found.lookup == Lookup::not_found)
+      spdlog::error("{} is depended on, and not in the store", job);
+    runtime_.after(retry_, [this, term, job] {
+      if (term != term_) return;
+      if (graph_.unknown().contains(job)) return read(job);
+      reading_.erase(job);
+    });
+  });
 }
 
 }  // namespace seampass::leader
