--- a/src/leader/attempts/absence.cc
+++ b/src/leader/attempts/absence.cc
@@ -10,17 +10,18 @@
   const std::vector<AttemptId> asked = attempts_.to_inspect(machine);
   if (asked.empty()) return;
   machine.inspecting = true;
-  const std::uint64_t term = term_;
-  workers_.inspect(machine.addr, [this, term, name = machine.name,
-                                  asked](const std::optional<wire::Heartbeat>& report) {
-    Machine* inspected = term == term_ ? fleet_.find(name) : nullptr;
-    if (!inspected) return;
-    inspected->inspecting = false;
-    if (!report || report->machine != name) return on_command_unanswered(*inspected);
-    if (report->token > election_.epoch())
-      return election_.step_down(audit::StepDownReason::worker_shows_higher_epoch);
-    on_inspection(*inspected, *report, asked);
-  });
+  workers_.inspect(machine.addr,
+                   term_.callbacks().wrap([this, name = machine.name,
+                                           asked](const std::optional<wire::Heartbeat>& report) {
+                     Machine* inspected = fleet_.find(name);
+                     if (!inspected) return;
+                     inspected->inspecting = false;
+                     if (!report || report->machine != name)
+                       return on_command_unanswered(*inspected);
+                     if (report->token > election_.epoch())
+                       return election_.step_down(audit::StepDownReason::worker_shows_higher_epoch);
+                     on_inspection(*inspected, *report, asked);
+                   }));
 }
 
 void Controller::on_inspection(Machine& machine, const wire::Heartbeat& report,
--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -40,7 +40,7 @@
   machine.stale = true;
   usage_[job.spec.team] -= request_of(job.spec);
   job.attempts.erase(task);
-  if (!job.ended) job.claimed[task] = job.finished[task];
+  if (!job.ended()) job.claimed[task] = job.finished[task];
   job.first_unclaimed_task = std::min(job.first_unclaimed_task, task);
 }
 
--- a/src/leader/attempts/attempts.cc
+++ b/src/leader/attempts/attempts.cc
@@ -19,23 +19,11 @@
 constexpr int kMostDoublings = 5;
 }  // namespace
 
-TaskAttempt* Controller::find_attempt(const std::string& job, std::uint32_t task) {
-  JobRecord* record = find_job(job);
-  if (!record) return nullptr;
-  const auto attempt = record->attempts.find(task);
-  return attempt == record->attempts.end() ? nullptr : &attempt->second;
-}
-
-TaskAttempt* Controller::find_attempt(const AttemptId& id) {
-  TaskAttempt* attempt = find_attempt(id.job, id.task);
-  return attempt && attempt->number == id.attempt ? attempt : nullptr;
-}
-
 void Controller::release(TaskAttempt& attempt) {
   const std::string id = attempt.job->spec.id;
   const std::uint32_t task = attempt.task;
   attempts_.remove(attempt);
-  record_changed(id, task, Urgency::progress);
+  task_records_.record_changed(id, task, Urgency::progress);
   erase_if_settled(id);
   request_pass();
 }
@@ -49,14 +37,14 @@
     release(*attempt);
   }
   for (const std::string& id : jobs) {
-    if (JobRecord* job = find_job(id)) lost_attempt(*job);
-    if (JobRecord* job = find_job(id)) conclude_if_complete(*job);
+    if (JobRecord* job = jobs_.find(id)) lost_attempt(*job);
+    if (JobRecord* job = jobs_.find(id)) conclude_if_complete(*job);
   }
 }
 
 // A gang's attempt is over for all its tasks once it is for one.
 void Controller::lost_attempt(JobRecord& job) {
-  if (!job.gang() || job.ended || job.attempts.empty()) return;
+  if (!job.gang() || job.ended() || job.attempts.empty()) return;
   stop_all(job, 0, audit::StopReason::gang_incomplete);
 }
 
@@ -146,7 +134,7 @@
   if (machine.replayable_starts.contains(attempt.id()))
     job.unreaped_attempts.insert({attempt.task, machine.name});
   release(attempt);
-  if (JobRecord* left = find_job(id)) lost_attempt(*left);
+  if (JobRecord* left = jobs_.find(id)) lost_attempt(*left);
 }
 
 void Controller::task_done(TaskAttempt& attempt) {
@@ -157,9 +145,9 @@
   job.failed_on.clear();
   if (job.gang()) {
     // They complete together: one that is done says so of all.
-    for (std::uint32_t task = 0; task < job.spec.tasks; ++task) finish_task(job, task);
+    for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.finish_task(task);
   } else if (job.spec.kind != wire::JobKind::service) {
-    finish_task(job, attempt.task);
+    job.finish_task(attempt.task);
   }
   conclude_if_complete(job);
   release(attempt);
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -25,15 +25,17 @@
       cluster_(cluster),
       settings_(settings),
       operator_settings_(operator_settings),
-      records_(
-          runtime, state, settings.least_state_limits(),
-          {[this](const std::string& id, const RecordId& record) { return render(id, record); },
-           [this] { election_.step_down(audit::StepDownReason::fenced); },
-           [this](const std::string& id, wire::Stage stage) { on_ended(id, stage); },
-           [this] { cluster_.finalize(); }}),
+      term_(election),
+      records_(runtime, state, settings.least_state_limits(),
+               {[this](const std::string& id, const RecordId& record) {
+                  return task_records_.render(id, record);
+                },
+                [this] { election_.step_down(audit::StepDownReason::fenced); },
+                [this](const std::string& id, wire::Stage stage) { on_ended(id, stage); },
+                [this] { cluster_.finalize(); }}),
       fleet_(runtime, cloud, catalog, settings, operator_settings,
              [this](Machine& m) { forget_machine(m); }),
-      layout_(cluster.spans()),
+      task_records_(jobs_, records_, cluster.spans()),
       dependencies_(runtime, status_reader, net::ms(settings.heartbeat_interval_s / 10),
                     {[this](const std::string& id, const std::string& dependency) {
                        job_ready(id, dependency);
@@ -53,23 +55,25 @@
 
 void Controller::start_term() {
   end_term();
-  active_ = true;
-  began_ = waited_ = ticked_ = load_logged_ = runtime_.now();
+  const Ms now = runtime_.now();
+  term_.begin(now);
+  waited_ = ticked_ = load_logged_ = now;
   isolated_ticks_ = 0;
   audit::elected(election_.epoch());
   records_.start_term(election_.epoch());
   fleet_.start_term(election_.epoch());
-  layout_.use(Layout::chunks, cluster_.spans());
+  task_records_.start_term(cluster_.spans());
   // Records are read once it is known in which layouts they may be.
   cluster_.start_term(election_.epoch(),
-                      {[this] { list_records("open/", "", true); }, [this] { use_segments(); },
+                      {[this] { list_records("open/", "", true); },
+                       [this] { task_records_.use_segments(cluster_.spans()); },
                        [this] { election_.step_down(audit::StepDownReason::fenced); }});
   tick();
 }
 
 void Controller::end_term() {
-  ++term_;
-  active_ = loaded_ = pass_requested_ = false;
+  term_.end();
+  pass_requested_ = false;
   listed_ = 0;
   for (auto& [id, job] : jobs_)
     for (const auto& w : job->waiters) w({});
@@ -90,11 +94,6 @@
 
 // ---- Jobs ----
 
-JobRecord* Controller::find_job(const std::string& id) const {
-  const auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : it->second.get();
-}
-
 Json Controller::open_record(const wire::Job& job, std::int64_t created_ms) {
   return Json{{"job", wire::to_json(job)}, {"created_ms", created_ms}};
 }
@@ -108,27 +107,27 @@
 
 void Controller::apply_open_record(const std::string& id, const Json& record,
                                    state::Version version) {
-  if (!active_ || jobs_.contains(id)) return;
+  if (!term_.active() || jobs_.contains(id)) return;
   // News of an acceptance can be older than the job's end. (A final status that has left this cache
   // is still found: the transaction that would assign its tasks compares ends/<id>. One that
   // depends on a cancelled job may be known as cancelled before its end is written.)
   if (status_reader_.written(id)) return;
-  auto job = std::make_unique<JobRecord>();
+  JobRecord job;
   try {
-    job->spec = wire::job_from(record.at("job"));
-    job->created_ms = record.at("created_ms").get<std::int64_t>();
+    job.spec = wire::job_from(record.at("job"));
+    job.created_ms = record.at("created_ms").get<std::int64_t>();
   } catch (const std::exception& e) {
     spdlog::error("unreadable job {}: {}", id, e.what());
     return;
   }
-  if (job->spec.id != id) return;
-  job->open_version = version;
-  job->claimed.assign(job->spec.tasks, false);
-  job->finished.assign(job->spec.tasks, false);
-  spdlog::debug("queued {} of {}, {} tasks, team {}", id, job->spec.job_class, job->spec.tasks,
-                job->spec.team);
-  job->ready_ms = job->created_ms;
-  const JobRecord& added = *jobs_.emplace(id, std::move(job)).first->second;
+  if (job.spec.id != id) return;
+  job.open_version = version;
+  job.claimed.assign(job.spec.tasks, false);
+  job.finished.assign(job.spec.tasks, false);
+  spdlog::debug("queued {} of {}, {} tasks, team {}", id, job.spec.job_class, job.spec.tasks,
+                job.spec.team);
+  job.ready_ms = job.created_ms;
+  const JobRecord& added = jobs_.add(std::move(job));
   // Nobody submits such a job before all controllers are new.
   if (!added.spec.dependencies.empty()) cluster_.finalize();
   dependencies_.add(added.spec);
@@ -150,8 +149,8 @@
   a.lookup = rpc::Lookup::found;
   a.status.id = job.spec.id;
   a.status.done = job.finished_count;
-  a.status.running = job.ended ? 0 : job.running;
-  a.status.stage = job.ended                 ? job.stage
+  a.status.running = job.ended() ? 0 : job.running;
+  a.status.stage = job.ended()               ? job.stage
                    : upstream_cancelled(job) ? wire::Stage::cancelled
                    : job.running > 0         ? wire::Stage::running
                                              : wire::Stage::queued;
@@ -160,33 +159,32 @@
 
 void Controller::handle_job_request(const std::string& id, bool cancel,
                                     std::function<void(const rpc::JobReply&)> reply) {
-  if (!ready()) return reply({});
-  const auto it = jobs_.find(id);
+  if (!term_.ready()) return reply({});
+  JobRecord* known = jobs_.find(id);
   // A job recovered after its end has no stage here; its final status is read.
-  if (it != jobs_.end() && !(it->second->ended && it->second->stage == wire::Stage::queued)) {
-    JobRecord& job = *it->second;
-    if (job.ended || upstream_cancelled(job)) return reply(status_of(job));
+  if (known && !(known->ended() && known->stage == wire::Stage::queued)) {
+    JobRecord& job = *known;
+    if (job.ended() || upstream_cancelled(job)) return reply(status_of(job));
     // A final status whose transaction is out may have been read by another node already: until
     // this one knows, only the store can tell.
     if (!cancel && (records_.outcome_unknown(id) || !upstream_certain(id))) return reply({});
     if (!cancel) return reply(status_of(job));
     job.waiters.push_back(std::move(reply));
     // Whoever asked is told soon to come again, while the rest goes on.
-    const std::uint64_t term = term_;
-    runtime_.after(net::ms(settings_.heartbeat_interval_s / 3), [this, term, id] {
-      JobRecord* late = term == term_ ? find_job(id) : nullptr;
+    runtime_.after(net::ms(settings_.heartbeat_interval_s / 3), term_.callbacks().wrap([this, id] {
+      JobRecord* late = jobs_.find(id);
       if (!late) return;
       for (const auto& w : std::exchange(late->waiters, {})) w({});
-    });
-    if (!job.ending) cancel_job(job);
+    }));
+    if (job.active()) cancel_job(job);
     return;
   }
-  const std::uint64_t term = term_;
-  const auto found = [this, term, id, cancel, reply = std::move(reply)](
-                         jobs::JobStatusReader::Lookup result, const wire::JobStatus& status,
-                         const state::Item& open) {
+  const auto found = [this, term = term_.callbacks().period(), id, cancel,
+                      reply = std::move(reply)](jobs::JobStatusReader::Lookup result,
+                                                const wire::JobStatus& status,
+                                                const state::Item& open) {
     rpc::JobReply a;
-    if (term != term_ || !ready() || result == jobs::JobStatusReader::Lookup::unavailable)
+    if (!term.current() || !term_.ready() || result == jobs::JobStatusReader::Lookup::unavailable)
       return reply(a);
     a.status = status;
     a.lookup = result == jobs::JobStatusReader::Lookup::not_found ? rpc::Lookup::not_found
@@ -205,7 +203,7 @@
 // is off everywhere. So whoever leads next, whatever is refused, lost or late then: no task is left
 // that would have to be stopped, and no start that would have to be caught.
 void Controller::cancel_job(JobRecord& job) {
-  job.ending = true;
+  job.advance_to(Lifecycle::stopping);
   job.reservations.clear();
   const std::string id = job.spec.id;
   stop_all(job, 0, audit::StopReason::job_over, true);
@@ -213,10 +211,10 @@
 }
 
 void Controller::conclude(JobRecord& job) {
-  job.ending = job.concluding = true;
+  job.advance_to(Lifecycle::writing_final_status);
   job.reservations.clear();
   const std::string id = job.spec.id;
-  const bool done = job.finished_count == job.spec.tasks;
+  const bool done = job.all_finished();
   // What is cancelled with another follows from that one's end: nobody waits for its own.
   const Urgency urgency = upstream_cancelled(job) ? Urgency::progress : Urgency::final_status;
   records_.write_final_status(id, job.open_version,
@@ -225,10 +223,10 @@
 }
 
 void Controller::on_ended(const std::string& id, wire::Stage stage) {
-  JobRecord* found = find_job(id);
+  JobRecord* found = jobs_.find(id);
   if (!found) return;
   JobRecord& job = *found;
-  job.ending = job.concluding = job.ended = true;
+  job.advance_to(Lifecycle::ended);
   job.stage = stage;
   const rpc::JobReply answer = status_of(job);
   status_reader_.remember(answer.status, jobs::JobStatusReader::Source::written);
@@ -244,11 +242,11 @@
 // A job that was called off ends once every task is off; an ended one stays until then, and until
 // its records are gone.
 void Controller::erase_if_settled(const std::string& id) {
-  JobRecord* job = find_job(id);
+  JobRecord* job = jobs_.find(id);
   // (An unreadable record may hold attempts that are at work.)
   if (!job || !job->attempts.empty() || job->unreadable) return;
-  if (job->ending && !job->concluding) conclude(*job);
-  if (!job->ended) return;
+  if (!job->active() && !job->final_status_written()) conclude(*job);
+  if (!job->ended()) return;
   const auto erase = [this, id] {
     if (!jobs_.contains(id) || !records_.settled(id)) return;
     records_.forget(id);
@@ -259,14 +257,8 @@
   erase();
 }
 
-void Controller::finish_task(JobRecord& job, std::uint32_t task) {
-  if (job.finished[task]) return;
-  job.finished[task] = job.claimed[task] = true;
-  ++job.finished_count;
-}
-
 void Controller::conclude_if_complete(JobRecord& job) {
-  if (!job.concluding && job.finished_count == job.spec.tasks) conclude(job);
+  if (!job.final_status_written() && job.all_finished()) conclude(job);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -1,10 +1,9 @@
 // The leading controller: the jobs, what runs where, and the decisions. It acts only between
 // begin() and stop(), which the election calls. Its parts, by what they own: controller.cc the jobs
-// and their ends, dependencies.cc what follows for those that wait for others, task_records.cc
-// their durable records, recovery.cc the take-over, attempts.cc how attempts end, heartbeats.cc and
-// commands.cc the talk with workers, absence.cc the questions about missing attempts,
-// cluster_view.cc the snapshot, planning.cc passes and rentals, upkeep.cc what is done at
-// intervals.
+// and their ends, dependencies.cc what follows for those that wait for others, recovery.cc the
+// take-over, attempts.cc how attempts end, heartbeats.cc and commands.cc the talk with workers,
+// absence.cc the questions about missing attempts, cluster_view.cc the snapshot, planning.cc passes
+// and rentals, upkeep.cc what is done at intervals.
 #pragma once
 
 #include <deque>
@@ -25,10 +24,12 @@
 #include "leader/ids.h"
 #include "leader/jobs/dependency_tracker.h"
 #include "leader/jobs/job_record.h"
+#include "leader/jobs/job_table.h"
 #include "leader/records/cluster_version.h"
-#include "leader/records/record_layout.h"
 #include "leader/records/record_store.h"
 #include "leader/records/task_record.h"
+#include "leader/records/task_record_writer.h"
+#include "leader/term_state.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
 #include "sched/snapshot.h"
@@ -62,8 +63,6 @@
   static wire::Json open_record(const wire::Job& job, std::int64_t created_ms);
 
  private:
-  bool ready() const { return loaded_ && election_.holds(); }
-
   // Recovery: recovery.cc.
   void list_records(const std::string& prefix, const std::string& after, bool first);
   void complete_recovery();
@@ -84,19 +83,8 @@
   // Whether its state can be told from memory: nothing upstream is unknown or in doubt.
   bool upstream_certain(const std::string& id) const;
 
-  // Durable records of tasks: task_records.cc.
-  void use_segments();
-  void replace_chunks(const std::string& id);
-  // What this task's record should hold has changed.
-  void record_changed(const std::string& id, std::uint32_t task, state::Urgency urgency,
-                      std::function<void()> durable = nullptr);
-  bool record_settled(const std::string& id, std::uint32_t task) const;
-  std::optional<wire::Json> render(const std::string& id, const RecordId& record) const;
-
   // Jobs.
-  JobRecord* find_job(const std::string& id) const;
   void apply_open_record(const std::string& id, const wire::Json& record, state::Version version);
-  static void finish_task(JobRecord& job, std::uint32_t task);
   void conclude_if_complete(JobRecord& job);
   void cancel_job(JobRecord& job);
   void conclude(JobRecord& job);
@@ -106,8 +94,6 @@
   rpc::JobReply status_of(const JobRecord& job) const;
 
   // Attempts: attempts.cc.
-  TaskAttempt* find_attempt(const std::string& job, std::uint32_t task);
-  TaskAttempt* find_attempt(const AttemptId& id);
   void release(TaskAttempt& attempt);
   void release_lost(const std::vector<TaskAttempt*>& lost, audit::AbsenceProof proof);
   void lost_attempt(JobRecord& job);
@@ -188,21 +174,21 @@
   ClusterVersion& cluster_;
   const config::Settings& settings_;
   const config::OperatorSettings& operator_settings_;
+  TermState term_;
+  JobTable jobs_;
   RecordStore records_;
   Fleet fleet_;
-  RecordLayout layout_;
+  TaskRecordWriter task_records_;
   DependencyTracker dependencies_;
 
-  bool active_ = false, loaded_ = false, pass_requested_ = false;
-  std::uint64_t term_ = 0;
+  bool pass_requested_ = false;
   net::Ms ticked_ = 0;
   int isolated_ticks_ = 0;
   net::Ms lateness_ = 0, load_logged_ = 0;  // of the last tick; when the load was last logged
-  net::Ms began_ = 0, last_rental_ = 0, next_pass_ = 0;
+  net::Ms last_rental_ = 0, next_pass_ = 0;
   net::Ms waited_ = 0;         // when a job last found no place
   state::Version listed_ = 0;  // open jobs were listed as of this revision; 0: not yet
   state::Version watched_ = 0;
-  std::map<std::string, std::unique_ptr<JobRecord>> jobs_;
   // Of one job, while its records are being listed.
   std::string collected_job_;
   std::vector<TaskRecord> collected_;
--- a/src/leader/jobs/dependencies.cc
+++ b/src/leader/jobs/dependencies.cc
@@ -8,7 +8,7 @@
 namespace seampass::leader {
 
 void Controller::job_ready(const std::string& id, const std::string& dependency) {
-  JobRecord* job = find_job(id);
+  JobRecord* job = jobs_.find(id);
   if (!job) return;
   job->ready_ms = runtime_.wall();
   audit::ready(id, dependency);
@@ -19,9 +19,9 @@
 // It never began, so there is nothing to stop. It counts as cancelled from now on, whether its own
 // end can be written or not: that follows from the records of what it depends on.
 void Controller::cancel_dependent(const std::string& id) {
-  JobRecord* job = find_job(id);
-  if (!job || job->ended) return;
-  job->ending = true;
+  JobRecord* job = jobs_.find(id);
+  if (!job || job->ended()) return;
+  job->advance_to(Lifecycle::stopping);
   job->reservations.clear();
   spdlog::debug("cancelled {} with a job that it depends on", id);
   const rpc::JobReply answer = status_of(*job);
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -14,7 +14,7 @@
     : runtime_(runtime), status_reader_(status_reader), retry_(retry), hooks_(std::move(hooks)) {}
 
 void DependencyTracker::end_term() {
-  ++term_;
+  callbacks_.renew();
   listed_ = false;
   graph_.clear();
   reading_.clear();
@@ -36,11 +36,11 @@
 
 void DependencyTracker::apply(const std::string& cause,
                               const sched::DependencyGraph::Effects& effects) const {
-  const std::uint64_t term = term_;
+  const net::CallbackScope::Period term = callbacks_.period();
   for (const std::string& job : effects.ready)
-    if (term == term_) hooks_.ready(job, cause);
+    if (term.current()) hooks_.ready(job, cause);
   for (const std::string& job : effects.cancelled)
-    if (term == term_) hooks_.cancelled(job);
+    if (term.current()) hooks_.cancelled(job);
 }
 
 void DependencyTracker::read_unknown() {
@@ -51,26 +51,24 @@
 
 // Neither done nor cancelled until the store says so: whatever depends on it waits.
 void DependencyTracker::read(const std::string& job) {
-  status_reader_.read_ended(job,
-                            [this, term = term_, job](Lookup found, const wire::JobStatus& status,
-                                                      const state::Item& open) {
-                              if (term != term_) return;
-                              if (found == Lookup::ended) {
-                                reading_.erase(job);
-                                return on_final_status(job, status.stage);
-                              }
-                              if (found == Lookup::open) {
-                                reading_.erase(job);
-                                return hooks_.found_open(job, open);
-                              }
-                              if (found == Lookup::not_found)
-                                spdlog::error("{} is depended on, and not in the store", job);
-                              runtime_.after(retry_, [this, term, job] {
-                                if (term != term_) return;
-                                if (graph_.unknown().contains(job)) return read(job);
-                                reading_.erase(job);
-                              });
-                            });
+  status_reader_.read_ended(
+      job, callbacks_.wrap(
+               [this, job](Lookup found, const wire::JobStatus& status, const state::Item& open) {
+                 if (found == Lookup::ended) {
+                   reading_.erase(job);
+                   return on_final_status(job, status.stage);
+                 }
+                 if (found == Lookup::open) {
+                   reading_.erase(job);
+                   return hooks_.found_open(job, open);
+                 }
+                 if (found == Lookup::not_found)
+                   spdlog::error("{} is depended on, and not in the store", job);
+                 runtime_.after(retry_, callbacks_.wrap([this, job] {
+                   if (graph_.unknown().contains(job)) return read(job);
+                   reading_.erase(job);
+                 }));
+               }));
 }
 
 }  // namespace seampass::leader
--- a/src/leader/jobs/dependency_tracker.h
+++ b/src/leader/jobs/dependency_tracker.h
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "jobs/job_status_reader.h"
+#include "net/callback_scope.h"
 #include "net/runtime.h"
 #include "sched/dependency_graph.h"
 #include "state/client.h"
@@ -48,7 +49,7 @@
   Hooks hooks_;
   sched::DependencyGraph graph_;
   std::set<std::string> reading_;
-  std::uint64_t term_ = 0;
+  net::CallbackScope callbacks_;
   bool listed_ = false;
 };
 
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -1,6 +1,7 @@
 // What the leader knows of a job and of the attempts of its tasks.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -43,6 +44,17 @@
   AttemptId id() const;
 };
 
+// A job's way from its acceptance to its end; it only goes forward.
+enum class Lifecycle {
+  active,
+  // Cancelled, or all of it is done: nothing of it is started any more.
+  stopping,
+  // Its final status is with the record store, and not known to be durable.
+  writing_final_status,
+  // Its final status is durable.
+  ended,
+};
+
 struct JobRecord {
   wire::Job spec;
   std::int64_t created_ms = 0;
@@ -66,11 +78,6 @@
   bool all_or_nothing = false;  // timed out once
   std::string reserved_zone;    // where its room is kept since then, if anywhere
   net::Ms zone_reserved_since = 0;
-  // Ends. `ending`: nothing of it is started any more; it was cancelled, or all of it is done.
-  // `concluding`: its final status is with the record store. `ended`: that status is durable.
-  bool ending = false;
-  bool concluding = false;
-  bool ended = false;
   // A durable record of its attempts can't be read: nothing of it may be started.
   bool unreadable = false;
   wire::Stage stage = wire::Stage::queued;
@@ -78,6 +85,27 @@
 
   bool fails_everywhere() const { return failed_on.size() > 1; }
   bool gang() const { return spec.kind == wire::JobKind::gang; }
+
+  // Tasks of it may be started.
+  [[nodiscard]] bool active() const { return lifecycle_ == Lifecycle::active; }
+  // Its final status was handed to the record store, or found in it.
+  [[nodiscard]] bool final_status_written() const {
+    return lifecycle_ >= Lifecycle::writing_final_status;
+  }
+  [[nodiscard]] bool ended() const { return lifecycle_ == Lifecycle::ended; }
+  [[nodiscard]] Lifecycle lifecycle() const { return lifecycle_; }
+  // Goes on to this stage of its life; a job that is further already stays there.
+  void advance_to(Lifecycle next) { lifecycle_ = std::max(lifecycle_, next); }
+
+  [[nodiscard]] bool all_finished() const { return finished_count == spec.tasks; }
+  void finish_task(std::uint32_t task) {
+    if (finished[task]) return;
+    finished[task] = claimed[task] = true;
+    ++finished_count;
+  }
+
+ private:
+  Lifecycle lifecycle_ = Lifecycle::active;
 };
 
 inline AttemptId TaskAttempt::id() const { return {job->spec.id, task, number}; }
--- a/src/leader/records/task_records.cc
+++ b/src/leader/records/task_record_writer.cc
@@ -1,26 +1,32 @@
-// The Controller's durable records of tasks: what they hold, and the change of their layout.
-#include <spdlog/spdlog.h>
+#include "leader/records/task_record_writer.h"
 
-#include "leader/controller.h"
+#include <utility>
+#include <vector>
+
+#include "leader/records/task_record.h"
+#include "sched/snapshot.h"
 
 namespace seampass::leader {
 
 using state::Urgency;
 using wire::Json;
 
-// All controllers read segments from now on. What was about to be written as a chunk is written as
-// segments instead; the other chunks follow when something of their job changes.
-void Controller::use_segments() {
-  layout_.use(Layout::segments, cluster_.spans());
+TaskRecordWriter::TaskRecordWriter(const JobTable& jobs, RecordStore& records, RecordSpans spans)
+    : jobs_(jobs), records_(records), layout_(spans) {}
+
+// What was about to be written as a chunk is written as segments instead; the other chunks follow
+// when something of their job changes.
+void TaskRecordWriter::use_segments(RecordSpans spans) {
+  layout_.use(Layout::segments, spans);
   for (const std::string& id : records_.jobs_writing(Layout::chunks)) replace_chunks(id);
 }
 
 // A chunk goes once segments cover all of it. Until then it counts for the tasks that no segment
-// covers (apply_record), so that each transaction on the way leaves records that are complete.
-void Controller::replace_chunks(const std::string& id) {
+// covers (Recovery), so that each transaction on the way leaves records that are complete.
+void TaskRecordWriter::replace_chunks(const std::string& id) {
   while (const auto chunk = records_.chunk_in_use(id)) {
     // (Who waited for a record may have ended the job.)
-    const JobRecord* job = find_job(id);
+    const JobRecord* job = jobs_.find(id);
     if (!job || job->unreadable) return;
     const TaskRange range = layout_.range(*chunk, job->spec.tasks);
     std::vector<RecordId> segments;
@@ -31,19 +37,19 @@
   }
 }
 
-void Controller::record_changed(const std::string& id, std::uint32_t task, Urgency urgency,
-                                std::function<void()> durable) {
+void TaskRecordWriter::record_changed(const std::string& id, std::uint32_t task, Urgency urgency,
+                                      std::function<void()> durable) {
   if (layout_.layout() == Layout::segments) replace_chunks(id);
   records_.write(id, layout_.record_of(task), urgency, std::move(durable));
 }
 
-bool Controller::record_settled(const std::string& id, std::uint32_t task) const {
+bool TaskRecordWriter::record_settled(const std::string& id, std::uint32_t task) const {
   return records_.settled(id, layout_.record_of(task)) &&
          records_.settled(id, layout_.chunk_of(task));
 }
 
-std::optional<Json> Controller::render(const std::string& id, const RecordId& record) const {
-  const JobRecord* job = find_job(id);
+std::optional<Json> TaskRecordWriter::render(const std::string& id, const RecordId& record) const {
+  const JobRecord* job = jobs_.find(id);
   if (!job) return std::nullopt;
   TaskRecord held;
   held.id = record;
@@ -53,7 +59,7 @@
     const auto& [task, attempt] = *entry;
     held.assignments.push_back({task, attempt.number, attempt.machine->name, attempt.incarnation});
   }
-  if (job->ended && held.assignments.empty()) return std::nullopt;
+  if (job->ended() && held.assignments.empty()) return std::nullopt;
   held.last_attempt = job->last_attempt;
   held.team = job->spec.team;
   held.request = sched::request_of(job->spec);
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -13,45 +13,46 @@
 using state::Outcome;
 
 void Controller::list_records(const std::string& prefix, const std::string& after, bool first) {
-  const std::uint64_t term = term_;
-  state_.list(prefix, after, [this, term, prefix, after, first](const state::ListResult& r) {
-    if (term != term_) return;
-    if (r.outcome != Outcome::ok) {
-      runtime_.after(net::ms(settings_.heartbeat_interval_s / 10),
-                     [this, term, prefix, after, first] {
-                       if (term == term_) list_records(prefix, after, first);
-                     });
-      return;
-    }
-    const bool open = prefix == "open/";
-    // Jobs accepted from here on come by the watch.
-    if (open && first) {
-      watched_ = r.revision;
-      if (listed_ == 0) listed_ = r.revision;
-    }
-    for (const state::Item& item : r.items) {
-      if (open)
-        apply_open_record(item.key.substr(prefix.size()), item.value, item.version);
-      else
-        collect_record(item);
-    }
-    if (r.more && !r.items.empty()) return list_records(prefix, r.items.back().key, false);
-    if (open && loaded_) return watch();  // listed again after the watch had fallen behind
-    if (open) return list_records("work/", "", true);
-    apply_collected_records();
-    complete_recovery();
-  });
+  state_.list(prefix, after,
+              term_.callbacks().wrap([this, prefix, after, first](const state::ListResult& r) {
+                if (r.outcome != Outcome::ok) {
+                  runtime_.after(net::ms(settings_.heartbeat_interval_s / 10),
+                                 term_.callbacks().wrap([this, prefix, after, first] {
+                                   list_records(prefix, after, first);
+                                 }));
+                  return;
+                }
+                const bool open = prefix == "open/";
+                // Jobs accepted from here on come by the watch.
+                if (open && first) {
+                  watched_ = r.revision;
+                  if (listed_ == 0) listed_ = r.revision;
+                }
+                for (const state::Item& item : r.items) {
+                  if (open)
+                    apply_open_record(item.key.substr(prefix.size()), item.value, item.version);
+                  else
+                    collect_record(item);
+                }
+                if (r.more && !r.items.empty())
+                  return list_records(prefix, r.items.back().key, false);
+                if (open && term_.recovered())
+                  return watch();  // listed again after the watch had fallen behind
+                if (open) return list_records("work/", "", true);
+                apply_collected_records();
+                complete_recovery();
+              }));
 }
 
 // Everything is listed: what the former leader left half done is settled, and scheduling begins.
 void Controller::complete_recovery() {
-  loaded_ = true;
+  term_.complete_recovery();
   std::vector<std::string> ids;
   for (const auto& [id, job] : jobs_) ids.push_back(id);
   for (const std::string& id : ids) {
-    JobRecord* job = find_job(id);
+    JobRecord* job = jobs_.find(id);
     if (!job) continue;
-    if (job->ended) {
+    if (job->ended()) {
       for (auto& [task, attempt] : job->attempts) attempt.stop = true;
       erase_if_settled(id);
       continue;
@@ -63,11 +64,11 @@
     conclude_if_complete(*job);
   }
   const auto ended = std::count_if(jobs_.begin(), jobs_.end(),
-                                   [](const auto& entry) { return entry.second->ended; });
+                                   [](const auto& entry) { return entry.second->ended(); });
   std::size_t attempts = 0;
   for (const auto& [id, job] : jobs_) attempts += job->attempts.size();
   audit::recovery_ended(election_.epoch(), listed_, jobs_.size() - static_cast<std::size_t>(ended),
-                        static_cast<std::size_t>(ended), attempts, runtime_.now() - began_);
+                        static_cast<std::size_t>(ended), attempts, runtime_.now() - term_.began());
   dependencies_.complete_listing();
   watch();
   request_pass();
@@ -85,12 +86,12 @@
   const auto record_id = record_id_from(std::string_view(rest).substr(slash + 1));
   try {
     if (!record_id) throw wire::Malformed("no record's name");
-    collected_.push_back(decode_task_record(*record_id, item.value, layout_));
+    collected_.push_back(decode_task_record(*record_id, item.value, task_records_.layout()));
     records_.add_existing(id, *record_id, item.version);
   } catch (const wire::Malformed& error) {
     // It may hold attempts that are at work: not taken for none.
     spdlog::error("unreadable record {}, {} is not scheduled: {}", item.key, id, error.what());
-    if (JobRecord* job = find_job(id)) job->unreadable = true;
+    if (JobRecord* job = jobs_.find(id)) job->unreadable = true;
   }
 }
 
@@ -99,7 +100,7 @@
 void Controller::apply_collected_records() {
   std::vector<TaskRecord> records = std::exchange(collected_, {});
   if (records.empty()) return;
-  JobRecord* known = find_job(collected_job_);
+  JobRecord* known = jobs_.find(collected_job_);
   JobRecord& job = known ? *known : ended_job(collected_job_, records.front());
   const auto chunks = std::stable_partition(
       records.begin(), records.end(),
@@ -116,17 +117,17 @@
 
 // Ended, but some of its tasks were not known to be gone.
 JobRecord& Controller::ended_job(const std::string& id, const TaskRecord& record) {
-  auto job = std::make_unique<JobRecord>();
-  job->spec.id = id;
-  job->spec.team = record.team;
-  job->spec.cpus = record.request.cpus;
-  job->spec.gpus = record.request.gpus;
-  job->spec.memory_gb = record.request.memory_gb;
-  job->spec.tasks = record.job_tasks;
-  job->ending = job->concluding = job->ended = true;
-  job->claimed.assign(job->spec.tasks, true);
-  job->finished.assign(job->spec.tasks, false);
-  return *jobs_.emplace(id, std::move(job)).first->second;
+  JobRecord job;
+  job.spec.id = id;
+  job.spec.team = record.team;
+  job.spec.cpus = record.request.cpus;
+  job.spec.gpus = record.request.gpus;
+  job.spec.memory_gb = record.request.memory_gb;
+  job.spec.tasks = record.job_tasks;
+  job.advance_to(Lifecycle::ended);
+  job.claimed.assign(job.spec.tasks, true);
+  job.finished.assign(job.spec.tasks, false);
+  return jobs_.add(std::move(job));
 }
 
 void Controller::apply_record(JobRecord& job, const TaskRecord& record,
@@ -135,7 +136,7 @@
   job.last_attempt = std::max(job.last_attempt, record.last_attempt);
   for (std::uint32_t i = 0; i < record.finished.size(); ++i) {
     const std::uint32_t task = record.range.first + i;
-    if (record.finished[i] && !is_other(task)) finish_task(job, task);
+    if (record.finished[i] && !is_other(task)) job.finish_task(task);
   }
   for (const Assignment& assigned : record.assignments) {
     if (is_other(assigned.task) || job.attempts.contains(assigned.task)) continue;
@@ -146,25 +147,22 @@
 }
 
 void Controller::watch() {
-  const std::uint64_t term = term_;
   state_.watch("open/", watched_, net::ms(settings_.lease_s),
-               [this, term](const state::WatchResult& r) {
-                 if (term != term_) return;
+               term_.callbacks().wrap([this](const state::WatchResult& r) {
                  if (r.outcome == Outcome::missing) {
                    // Too far behind: list again. Jobs known already are not touched.
                    return list_records("open/", "", true);
                  }
                  if (r.outcome != Outcome::ok) {
-                   runtime_.after(net::ms(settings_.heartbeat_interval_s / 10), [this, term] {
-                     if (term == term_) watch();
-                   });
+                   runtime_.after(net::ms(settings_.heartbeat_interval_s / 10),
+                                  term_.callbacks().wrap([this] { watch(); }));
                    return;
                  }
                  watched_ = r.revision;
                  for (const state::Event& e : r.events)
                    if (e.value) apply_open_record(e.key.substr(5), *e.value, e.version);
                  watch();
-               });
+               }));
 }
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/cluster_view.cc
+++ b/src/leader/scheduling/cluster_view.cc
@@ -108,7 +108,7 @@
   std::vector<const JobRecord*> order;
   for (const auto& [id, job] : jobs_)
     // (What waits for others holds no part of its team's guarantee.)
-    if (!job->ending && job->spec.gpus > 0 && dependencies_.graph().ready(id))
+    if (job->active() && job->spec.gpus > 0 && dependencies_.graph().ready(id))
       order.push_back(job.get());
   std::sort(order.begin(), order.end(), [](const JobRecord* a, const JobRecord* b) {
     return std::tie(a->created_ms, a->spec.id) < std::tie(b->created_ms, b->spec.id);
@@ -172,7 +172,7 @@
   const Ms now = runtime_.now();
   const auto guaranteed = guaranteed_jobs();
   for (auto& [id, job] : jobs_) {
-    if (job->ending || job->unreadable || job->first_unclaimed_task == job->spec.tasks) continue;
+    if (!job->active() || job->unreadable || job->first_unclaimed_task == job->spec.tasks) continue;
     // No task before all that the job depends on is durably done: also no room held, no machine
     // rented, no limit taken.
     if (!dependencies_.graph().ready(id)) continue;
--- a/src/leader/scheduling/planning.cc
+++ b/src/leader/scheduling/planning.cc
@@ -34,15 +34,13 @@
 }  // namespace
 
 void Controller::request_pass() {
-  if (pass_requested_ || !loaded_) return;
+  if (pass_requested_ || !term_.recovered()) return;
   pass_requested_ = true;
-  const std::uint64_t term = term_;
   const Ms due = std::max(runtime_.now() + 1, next_pass_);
-  runtime_.after(due - runtime_.now(), [this, term, due] {
-    if (term != term_) return;
+  runtime_.after(due - runtime_.now(), term_.callbacks().wrap([this, due] {
     pass_requested_ = false;
     run_pass(runtime_.now() - due);
-  });
+  }));
 }
 
 double Controller::longest_boot_s() const {
@@ -52,7 +50,7 @@
 }
 
 void Controller::run_pass(Ms lateness) {
-  if (!ready() || !catalog_.known()) return;
+  if (!term_.ready() || !catalog_.known()) return;
   const Ms began = runtime_.now();
   snapshot_.choice = operator_settings_.machine_choice == "first-fit"
                          ? sched::MachineChoice::first_fit
@@ -196,7 +194,7 @@
   for (const sched::Preemption& e : d.preemptions) {
     double termination_grace_s = 0;
     for (const sched::Victim& v : e.tasks) {
-      TaskAttempt* c = find_attempt(v.job, v.task);
+      TaskAttempt* c = jobs_.find_attempt(v.job, v.task);
       if (!c) continue;
       stop_to_save(*c, audit::StopReason::room_needed);
       stops.push_back(c);
@@ -246,7 +244,7 @@
   const Ms now = runtime_.now();
   for (sched::MachineView& m : snapshot_.machines) {
     for (sched::Victim& v : m.victims) {
-      const TaskAttempt* c = find_attempt(v.job, v.task);
+      const TaskAttempt* c = jobs_.find_attempt(v.job, v.task);
       if (!c) continue;
       v.left_s = c->job->spec.estimate_s - static_cast<double>(now - c->running_since) / 1000;
     }
@@ -281,7 +279,7 @@
     m->stale = true;
     attempts_.add(job, x.task, attempt, *m, m->incarnation);
     all.push_back({job.spec.id, x.task, attempt});
-    by_record[layout_.record_of(x.task)].push_back(all.back());
+    by_record[task_records_.record_of(x.task)].push_back(all.back());
   }
   spdlog::debug("starting {} tasks of {} try {} on {}", all.size(), job.spec.id, attempt,
                 snapshot_.machines[tasks.front().machine].name);
@@ -290,11 +288,11 @@
   // A gang's start may span several records: nothing starts before the last is durable.
   const auto waiting = std::make_shared<std::size_t>(by_record.size());
   for (auto& [record, list] : by_record) {
-    record_changed(id, list.front().task, Urgency::assignment,
-                   [this, id, gang, waiting, all, list = list] {
-                     if (!gang) return on_assignment_durable(id, list);
-                     if (--*waiting == 0) on_assignment_durable(id, all);
-                   });
+    task_records_.record_changed(id, list.front().task, Urgency::assignment,
+                                 [this, id, gang, waiting, all, list = list] {
+                                   if (!gang) return on_assignment_durable(id, list);
+                                   if (--*waiting == 0) on_assignment_durable(id, all);
+                                 });
   }
 }
 
--- a/src/leader/scheduling/upkeep.cc
+++ b/src/leader/scheduling/upkeep.cc
@@ -44,15 +44,13 @@
 }
 
 void Controller::tick() {
-  const std::uint64_t term = term_;
   const Ms due = runtime_.now() + net::ms(settings_.heartbeat_interval_s / 3);
-  runtime_.after(due - runtime_.now(), [this, term, due] {
-    if (term != term_) return;
+  runtime_.after(due - runtime_.now(), term_.callbacks().wrap([this, due] {
     lateness_ = runtime_.now() - due;
     tick();
-  });
+  }));
   if (runtime_.now() >= load_logged_ + net::ms(settings_.lease_s)) log_load();
-  if (!ready()) return;
+  if (!term_.ready()) return;
   if (is_isolated() && election_.resign()) return;
   release_expired();
   for (auto& [job_class, a] : arrivals_)
@@ -75,7 +73,7 @@
   for (auto& [name, m] : fleet_.machines()) {
     if (m.attempts.empty()) continue;
     const bool confirmed = m.last_heartbeat_at >= 0 && m.token >= election_.epoch();
-    if (attempts_.lease_expired(m, began_, confirmed, times)) expired.push_back(&m);
+    if (attempts_.lease_expired(m, term_.began(), confirmed, times)) expired.push_back(&m);
   }
   for (Machine* m : expired) release_machine(*m, audit::AbsenceProof::lease_expired);
 }
--- a/src/leader/workers/commands.cc
+++ b/src/leader/workers/commands.cc
@@ -33,18 +33,19 @@
   // A worker that began anew just now runs what it is told until its own lease is over, whether its
   // answer comes or not.
   if (!starts.empty()) machine.last_command_ack_at = runtime_.now();
-  workers_.send(machine.addr, election_.epoch(), machine.incarnation, commands,
-                [this, term = term_, name = machine.name, starts](
-                    workers::Sent sent, const std::optional<wire::Heartbeat>& report) {
-                  if (term == term_) on_command_answer(name, starts, sent, report);
-                });
+  workers_.send(
+      machine.addr, election_.epoch(), machine.incarnation, commands,
+      term_.callbacks().wrap([this, name = machine.name, starts](
+                                 workers::Sent sent, const std::optional<wire::Heartbeat>& report) {
+        on_command_answer(name, starts, sent, report);
+      }));
 }
 
 void Controller::on_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
                                    workers::Sent sent,
                                    const std::optional<wire::Heartbeat>& report) {
   for (const AttemptId& id : starts)
-    if (TaskAttempt* attempt = find_attempt(id)) --attempt->in_flight;
+    if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->in_flight;
   Machine* machine = fleet_.find(name);
   if (!machine) return;
   // Certainly not executed, and no copy of it ever will be.
@@ -81,15 +82,15 @@
 // The record that assigns these tasks is durable: they may be started.
 void Controller::on_assignment_durable(const std::string& id,
                                        const std::vector<AttemptId>& assigned) {
-  JobRecord* job = find_job(id);
+  JobRecord* job = jobs_.find(id);
   if (!job) return;
   std::map<Machine*, std::vector<wire::Command>, ByName> by_machine;
   std::vector<TaskAttempt*> off;
   for (const AttemptId& name : assigned) {
-    TaskAttempt* attempt = find_attempt(name);
+    TaskAttempt* attempt = jobs_.find_attempt(name);
     if (!attempt) continue;
     attempt->durable = true;
-    if (attempt->stop || attempt->sent || job->ending || !election_.holds()) continue;
+    if (attempt->stop || attempt->sent || !job->active() || !election_.holds()) continue;
     Machine& machine = *attempt->machine;
     // Each start that goes there by itself leaves an attempt that can't be forgotten for long.
     // Those beyond the bound travel in the answer to the next heartbeat, of which no copy comes
--- a/src/leader/workers/heartbeats.cc
+++ b/src/leader/workers/heartbeats.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 HeartbeatReply Controller::handle_heartbeat(const wire::Heartbeat& report) {
-  if (!active_ || !election_.may_answer()) return {503, "{}"};
+  if (!term_.active() || !election_.may_answer()) return {503, "{}"};
   if (report.token > election_.epoch()) {  // another leads already
     election_.step_down(audit::StepDownReason::worker_shows_higher_epoch);
     return {503, "{}"};
@@ -53,7 +53,7 @@
   machine.last_heartbeat = position;
   machine.note_heartbeat(runtime_.now());
   // (The answer to a command may have overtaken it.)
-  if (!loaded_ || !is_newer(report, machine))
+  if (!term_.recovered() || !is_newer(report, machine))
     return {200, wire::heartbeat_answer(election_.epoch(), {})};
   reconcile(machine, report, true);
   return {200, wire::heartbeat_answer(election_.epoch(), commands_for(machine, report))};
@@ -108,7 +108,7 @@
 // recorded again, so that the task is started nowhere else; in any case the machine takes nothing
 // until it is settled.
 TaskAttempt* Controller::adopt(Machine& machine, const AttemptId& id) {
-  JobRecord* job = find_job(id.job);
+  JobRecord* job = jobs_.find(id.job);
   if (!job || id.task >= job->spec.tasks || job->attempts.contains(id.task)) {
     ++machine.unknown_tasks;
     return nullptr;
@@ -116,8 +116,8 @@
   TaskAttempt& attempt = attempts_.add(*job, id.task, id.attempt, machine, machine.incarnation);
   attempt.durable = attempt.sent = true;
   job->last_attempt = std::max(job->last_attempt, id.attempt);
-  record_changed(id.job, id.task, Urgency::assignment);
-  if (job->ending || job->finished[id.task] || job->gang())
+  task_records_.record_changed(id.job, id.task, Urgency::assignment);
+  if (!job->active() || job->finished[id.task] || job->gang())
     attempts_.stop(attempt, 0, audit::StopReason::not_wanted);
   return &attempt;
 }
@@ -131,7 +131,7 @@
     if (attempt) task_exited(*attempt, *task);
   }
   for (const std::string& id : jobs)
-    if (JobRecord* job = find_job(id)) conclude_if_complete(*job);
+    if (JobRecord* job = jobs_.find(id)) conclude_if_complete(*job);
 }
 
 // A late copy of a start finds the attempt for as long as the worker knows it, and does nothing.
@@ -141,8 +141,8 @@
 bool Controller::may_forget(const Machine& machine, const wire::TaskStatus& task) const {
   if (!machine.replayable_starts.contains(id_of(task))) return true;
   if (task.cause != ExitCause::done) return false;
-  const JobRecord* job = find_job(task.job);
-  if (job && !job->ended) return false;
+  const JobRecord* job = jobs_.find(task.job);
+  if (job && !job->ended()) return false;
   const auto final_status = status_reader_.final_status(task.job);
   return final_status && final_status->stage == wire::Stage::done;
 }
@@ -157,7 +157,7 @@
     const TaskAttempt* attempt = find_on(machine, id);
     if (task.state == TaskState::exited) {
       // Forgotten only after the record of its end is durable.
-      if (!attempt && record_settled(id.job, id.task) && may_forget(machine, task)) {
+      if (!attempt && task_records_.record_settled(id.job, id.task) && may_forget(machine, task)) {
         machine.replayable_starts.erase(id);
         commands.push_back(command_for(Verb::forget, id));
       }
@@ -184,7 +184,7 @@
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task) || attempt->seen || !attempt->durable) continue;
     if (attempt->in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
-    if (attempt->job->ending && !attempt->stop) continue;
+    if (!attempt->job->active() && !attempt->stop) continue;
     attempt->start_sent_at = runtime_.now();
     audit::start(attempt->id(), machine.name, machine.incarnation, election_.epoch(), true);
     commands.push_back(command_for(Verb::start, attempt->id()));
