--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "leader/records/keys.h"
+
 namespace seampass::leader {
 
 using net::Ms;
@@ -65,7 +67,7 @@
   task_records_.start_term(cluster_.spans());
   // Records are read once it is known in which layouts they may be.
   cluster_.start_term(election_.epoch(),
-                      {[this] { list_records("open/", "", true); },
+                      {[this] { list_records(kOpenPrefix, "", true); },
                        [this] { task_records_.use_segments(cluster_.spans()); },
                        [this] { election_.step_down(audit::StepDownReason::fenced); }});
   tick();
