--- a/src/leader/attempts/attempts.cc
+++ b/src/leader/attempts/attempts.cc
@@ -61,10 +61,14 @@
 }
 
 // Long enough to save, and for the order to arrive.
-void Controller::stop_to_save(TaskAttempt& attempt, audit::StopReason why) {
+void Controller::stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason why) {
   attempts_.stop(attempt, attempt.job->spec.save_s + settings_.heartbeat_interval_s / 3, why);
 }
 
+void Controller::stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why) {
+  stop_all(job, termination_grace_s, why, false);
+}
+
 // `again`: also what was told to stop before, with this grace now.
 void Controller::stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why,
                           bool again) {
@@ -93,9 +97,7 @@
 // Its place in the snapshot is free for another.
 void Controller::forget_machine(Machine& machine) {
   release_machine(machine, audit::AbsenceProof::machine_deleted);
-  if (machine.slot == Machine::kNoSlot) return;
-  snapshot_.machines[machine.slot] = {};
-  free_slots_.push_back(machine.slot);
+  scheduling_.forget_machine(machine);
 }
 
 // The machine is the likelier culprit, unless the job fails elsewhere as well, with nothing of it
--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -2,7 +2,6 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
 #include <utility>
 
 namespace seampass::leader {
@@ -18,7 +17,6 @@
                        const config::OperatorSettings& operator_settings)
     : runtime_(runtime),
       state_(state),
-      catalog_(catalog),
       workers_(std::move(workers)),
       election_(election),
       status_reader_(status_reader),
@@ -42,20 +40,16 @@
                      [this](const std::string& id, const state::Item& open) {
                        apply_open_record(id, open.value, open.version);
                      }}),
-      attempts_(runtime) {
-  for (const config::ServiceLevelObjective& o : settings.objectives) {
-    objectives_by_class_[o.job_class].push_back(o);
-    if (o.kind != "wait" || o.job_class.empty()) continue;
-    Arrivals& a = arrivals_[o.job_class];
-    a.within_s = a.within_s > 0 ? std::min(a.within_s, o.within_s) : o.within_s;
-  }
-}
+      attempts_(runtime),
+      scheduling_(
+          runtime, election, fleet_,
+          {jobs_, attempts_, dependencies_.graph(), catalog, state, settings, operator_settings},
+          *this) {}
 
 void Controller::start_term() {
   end_term();
   active_ = true;
-  began_ = waited_ = ticked_ = load_logged_ = runtime_.now();
-  isolated_ticks_ = 0;
+  began_ = runtime_.now();
   audit::elected(election_.epoch());
   records_.start_term(election_.epoch());
   fleet_.start_term(election_.epoch());
@@ -64,21 +58,18 @@
   cluster_.start_term(election_.epoch(),
                       {[this] { list_records("open/", "", true); }, [this] { use_segments(); },
                        [this] { election_.step_down(audit::StepDownReason::fenced); }});
-  tick();
+  scheduling_.start_term(began_);
 }
 
 void Controller::end_term() {
   ++term_;
-  active_ = loaded_ = pass_requested_ = false;
+  active_ = loaded_ = false;
+  scheduling_.end_term();
   listed_ = 0;
   for (auto& [id, job] : jobs_)
     for (const auto& w : job->waiters) w({});
   jobs_.clear();
   attempts_.clear();
-  headroom_machines_.clear();
-  snapshot_ = {};
-  free_slots_.clear();
-  for (auto& [job_class, a] : arrivals_) a.recent.clear();
   collected_.clear();
   collected_job_.clear();
   cluster_.end_term();
@@ -136,15 +127,6 @@
   request_pass();
 }
 
-// Jobs recovered together came at their own times.
-void Controller::record_arrival(const JobRecord& job) {
-  const auto aim = arrivals_.find(job.spec.job_class);
-  if (aim == arrivals_.end()) return;
-  const Ms age = std::max<Ms>(0, runtime_.wall() - job.ready_ms);
-  aim->second.latest = job.spec;
-  aim->second.recent.emplace_back(runtime_.now() - age, job.spec.tasks);
-}
-
 rpc::JobReply Controller::status_of(const JobRecord& job) const {
   rpc::JobReply a;
   a.lookup = rpc::Lookup::found;
--- a/src/leader/controller.h
+++ b/src/leader/controller.h
@@ -1,13 +1,12 @@
 // The leading controller: the jobs, what runs where, and the decisions. It acts only between
 // begin() and stop(), which the election calls. Its parts, by what they own: controller.cc the jobs
 // and their ends, dependencies.cc what follows for those that wait for others, task_records.cc
-// their durable records, recovery.cc the take-over, attempts.cc how attempts end, heartbeats.cc and
-// commands.cc the talk with workers, absence.cc the questions about missing attempts,
-// cluster_view.cc the snapshot, planning.cc passes and rentals, upkeep.cc what is done at
-// intervals.
+// their durable records, recovery.cc the take-over, attempts.cc how attempts end, launch.cc how
+// they begin, heartbeats.cc and commands.cc the talk with workers, absence.cc the questions about
+// missing attempts. Scheduling is a class of its own, SchedulingLoop, which acts through
+// TaskActions.
 #pragma once
 
-#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
@@ -29,9 +28,10 @@
 #include "leader/records/record_layout.h"
 #include "leader/records/record_store.h"
 #include "leader/records/task_record.h"
+#include "leader/scheduling/scheduling_loop.h"
+#include "leader/scheduling/task_actions.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
-#include "sched/snapshot.h"
 #include "state/client.h"
 #include "workers/client.h"
 
@@ -42,7 +42,7 @@
   std::string body;
 };
 
-class Controller {
+class Controller : private TaskActions {
  public:
   Controller(net::Runtime& runtime, state::Client& state, cloud::Client& cloud,
              const cloud::MachineCatalog& catalog, workers::Client workers, Election& election,
@@ -100,21 +100,23 @@
   void conclude_if_complete(JobRecord& job);
   void cancel_job(JobRecord& job);
   void conclude(JobRecord& job);
-  void record_arrival(const JobRecord& job);
+  void record_arrival(const JobRecord& job) { scheduling_.record_arrival(job); }
+  void request_pass() { scheduling_.request_pass(); }
   void on_ended(const std::string& id, wire::Stage stage);
   void erase_if_settled(const std::string& id);
   rpc::JobReply status_of(const JobRecord& job) const;
 
   // Attempts: attempts.cc.
-  TaskAttempt* find_attempt(const std::string& job, std::uint32_t task);
+  TaskAttempt* find_attempt(const std::string& job, std::uint32_t task) override;
   TaskAttempt* find_attempt(const AttemptId& id);
   void release(TaskAttempt& attempt);
   void release_lost(const std::vector<TaskAttempt*>& lost, audit::AbsenceProof proof);
   void lost_attempt(JobRecord& job);
-  void stop_to_save(TaskAttempt& attempt, audit::StopReason why);
-  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why,
-                bool again = false);
-  void release_machine(Machine& machine, audit::AbsenceProof proof);
+  void stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason why) override;
+  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why) override;
+  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why, bool again);
+  void launch(JobRecord& job, const std::vector<PlacedTask>& tasks) override;
+  void release_machine(Machine& machine, audit::AbsenceProof proof) override;
   void forget_machine(Machine& machine);
   void record_failure(JobRecord& job, Machine& machine);
   void task_exited(TaskAttempt& attempt, const wire::TaskStatus& report);
@@ -137,7 +139,7 @@
 
   // Commands to workers: commands.cc.
   void send(Machine& machine, const std::vector<wire::Command>& commands);
-  void send_stops(const std::vector<TaskAttempt*>& attempts);
+  void send_stops(const std::vector<TaskAttempt*>& attempts) override;
   void on_command_answer(const std::string& name, const std::vector<AttemptId>& starts,
                          workers::Sent sent, const std::optional<wire::Heartbeat>& report);
   void on_command_unanswered(Machine& machine);
@@ -145,43 +147,8 @@
   static void append_start(const Machine& machine, const AttemptId& id,
                            std::vector<wire::Command>& commands);
 
-  // The snapshot: cluster_view.cc.
-  void update_view(Machine& machine, const wire::MachineType& type);
-  void update_machines();
-  void update_teams();
-  static std::vector<std::uint32_t> pending_tasks(const JobRecord& job, std::size_t most);
-  std::set<std::pair<std::uint32_t, std::size_t>> tasks_to_avoid(JobRecord& job);
-  void apply_reservations(const JobRecord& job, sched::JobView& view);
-  std::vector<JobRecord*> update_jobs();
-  std::set<const JobRecord*> guaranteed_jobs() const;
-  void reserve_zones(const std::vector<JobRecord*>& jobs);
-
-  // Scheduling: planning.cc.
-  void request_pass();
-  // lateness: how long after it was due; a sign of how busy this process is.
-  void run_pass(net::Ms lateness);
-  void touch(std::size_t slot);
-  double longest_boot_s() const;
-  double age_s(const JobRecord& job) const;
-  double wait_budget_s(const JobRecord& job) const;
-  std::vector<sched::Headroom> headroom() const;
-  void plan();
-  void consolidate();
-  void preempt(const sched::Decisions& decisions);
-  void start(JobRecord& job, const std::vector<sched::Placement>& tasks);
-
-  // At intervals: upkeep.cc.
-  void tick();
-  bool is_isolated();
-  void release_expired();
-  std::set<std::string> expire_reservations();
-  void drain_preempted();
-  void log_use() const;
-  void log_load();
-
   net::Runtime& runtime_;
   state::Client& state_;
-  const cloud::MachineCatalog& catalog_;
   workers::Client workers_;
   Election& election_;
   jobs::JobStatusReader& status_reader_;
@@ -193,34 +160,17 @@
   RecordLayout layout_;
   DependencyTracker dependencies_;
 
-  bool active_ = false, loaded_ = false, pass_requested_ = false;
+  bool active_ = false, loaded_ = false;
   std::uint64_t term_ = 0;
-  net::Ms ticked_ = 0;
-  int isolated_ticks_ = 0;
-  net::Ms lateness_ = 0, load_logged_ = 0;  // of the last tick; when the load was last logged
-  net::Ms began_ = 0, last_rental_ = 0, next_pass_ = 0;
-  net::Ms waited_ = 0;         // when a job last found no place
+  net::Ms began_ = 0;
   state::Version listed_ = 0;  // open jobs were listed as of this revision; 0: not yet
   state::Version watched_ = 0;
-  std::map<std::string, std::unique_ptr<JobRecord>> jobs_;
+  JobMap jobs_;
   // Of one job, while its records are being listed.
   std::string collected_job_;
   std::vector<TaskRecord> collected_;
   AttemptTracker attempts_;
-  // Kept from pass to pass: a machine is drawn anew when it has changed.
-  sched::ClusterSnapshot snapshot_;
-  std::vector<std::size_t> free_slots_;
-
-  // Arrivals of the classes that have a start aim: what a spare is measured by.
-  struct Arrivals {
-    double within_s = 0;
-    wire::Job latest;
-    std::deque<std::pair<net::Ms, std::uint32_t>> recent;  // when, how many tasks
-  };
-  std::map<std::string, Arrivals> arrivals_;
-  std::map<std::string, std::vector<config::ServiceLevelObjective>>
-      objectives_by_class_;                  // by class
-  std::set<std::string> headroom_machines_;  // machines wanted as headroom
+  SchedulingLoop scheduling_;
 };
 
 }  // namespace seampass::leader
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -4,6 +4,7 @@
 #include <cstdint>
 #include <functional>
 #include <map>
+#include <memory>
 #include <set>
 #include <string>
 #include <utility>
@@ -80,6 +81,8 @@
   bool gang() const { return spec.kind == wire::JobKind::gang; }
 };
 
+using JobMap = std::map<std::string, std::unique_ptr<JobRecord>>;  // by id
+
 inline AttemptId TaskAttempt::id() const { return {job->spec.id, task, number}; }
 
 }  // namespace seampass::leader
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -46,6 +46,7 @@
 // Everything is listed: what the former leader left half done is settled, and scheduling begins.
 void Controller::complete_recovery() {
   loaded_ = true;
+  scheduling_.allow_passes();
   std::vector<std::string> ids;
   for (const auto& [id, job] : jobs_) ids.push_back(id);
   for (const std::string& id : ids) {
--- a/src/leader/scheduling/cluster_view.cc
+++ b/src/leader/scheduling/cluster_view.cc
@@ -1,9 +1,9 @@
-// The Controller's snapshot of the cluster for a pass: machines, teams, and jobs with what is
+// The SchedulingLoop's snapshot of the cluster for a pass: machines, teams, and jobs with what is
 // pending.
 #include <algorithm>
 #include <tuple>
 
-#include "leader/controller.h"
+#include "leader/scheduling/scheduling_loop.h"
 
 namespace seampass::leader {
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 // What a machine is used for, drawn anew only after it has changed.
-void Controller::update_view(Machine& m, const wire::MachineType& type) {
+void SchedulingLoop::update_view(Machine& m, const wire::MachineType& type) {
   sched::MachineView& v = snapshot_.machines[m.slot];
   v.name = m.name;
   v.type = m.type;
@@ -42,7 +42,7 @@
   m.stale = false;
 }
 
-void Controller::update_machines() {
+void SchedulingLoop::update_machines() {
   const Ms now = runtime_.now();
   const Ms fresh = net::ms(settings_.lease_s) / 3;
   for (auto& [name, m] : fleet_.machines()) {
@@ -90,7 +90,7 @@
   }
 }
 
-void Controller::update_teams() {
+void SchedulingLoop::update_teams() {
   snapshot_.teams.clear();
   for (const config::Team& t : settings_.teams) {
     sched::TeamView& v = snapshot_.teams[t.name];
@@ -104,12 +104,11 @@
 
 // A job is within its team's guarantee if it fits there together with the team's earlier unfinished
 // jobs.
-std::set<const JobRecord*> Controller::guaranteed_jobs() const {
+std::set<const JobRecord*> SchedulingLoop::guaranteed_jobs() const {
   std::vector<const JobRecord*> order;
   for (const auto& [id, job] : jobs_)
     // (What waits for others holds no part of its team's guarantee.)
-    if (!job->ending && job->spec.gpus > 0 && dependencies_.graph().ready(id))
-      order.push_back(job.get());
+    if (!job->ending && job->spec.gpus > 0 && dependencies_.ready(id)) order.push_back(job.get());
   std::sort(order.begin(), order.end(), [](const JobRecord* a, const JobRecord* b) {
     return std::tie(a->created_ms, a->spec.id) < std::tie(b->created_ms, b->spec.id);
   });
@@ -126,7 +125,7 @@
 
 // The first tasks that wait, `most` of them; of a gang all, however large, since it is placed
 // whole.
-std::vector<std::uint32_t> Controller::pending_tasks(const JobRecord& job, std::size_t most) {
+std::vector<std::uint32_t> SchedulingLoop::pending_tasks(const JobRecord& job, std::size_t most) {
   std::vector<std::uint32_t> pending;
   for (std::uint32_t task = job.first_unclaimed_task; task < job.spec.tasks; ++task) {
     if (!job.gang() && pending.size() == most) break;
@@ -137,7 +136,7 @@
 
 // Where a copy of an earlier attempt's start may still come late, that attempt is not forgotten,
 // and would be in the way of this one.
-std::set<std::pair<std::uint32_t, std::size_t>> Controller::tasks_to_avoid(JobRecord& job) {
+std::set<std::pair<std::uint32_t, std::size_t>> SchedulingLoop::tasks_to_avoid(JobRecord& job) {
   std::set<std::pair<std::uint32_t, std::size_t>> anti_affinity;
   for (auto left = job.unreaped_attempts.begin(); left != job.unreaped_attempts.end();) {
     const auto& [task, name] = *left;
@@ -153,7 +152,7 @@
 }
 
 // Room that a gang holds is taken in the snapshot before anything is placed.
-void Controller::apply_reservations(const JobRecord& job, sched::JobView& view) {
+void SchedulingLoop::apply_reservations(const JobRecord& job, sched::JobView& view) {
   for (const auto& [task, name] : job.reservations) {
     const Machine* machine = fleet_.find(name);
     if (!machine || machine->slot == Machine::kNoSlot) continue;
@@ -166,16 +165,16 @@
   }
 }
 
-std::vector<JobRecord*> Controller::update_jobs() {
+std::vector<JobRecord*> SchedulingLoop::update_jobs() {
   snapshot_.jobs.clear();
   std::vector<JobRecord*> jobs;
   const Ms now = runtime_.now();
   const auto guaranteed = guaranteed_jobs();
-  for (auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_) {
     if (job->ending || job->unreadable || job->first_unclaimed_task == job->spec.tasks) continue;
     // No task before all that the job depends on is durably done: also no room held, no machine
     // rented, no limit taken.
-    if (!dependencies_.graph().ready(id)) continue;
+    if (!dependencies_.ready(id)) continue;
     const bool gang = job->gang();
     if (gang && !job->attempts.empty()) continue;  // the next attempt waits for all of the last
     // A job that fails everywhere takes room for one task, to see whether it still does.
@@ -191,7 +190,7 @@
     v.id = id;
     v.team = job->spec.team;
     v.kind = job->spec.kind;
-    v.priority = dependencies_.graph().effective_priority(id);
+    v.priority = dependencies_.effective_priority(id);
     v.created_ms = job->created_ms;
     v.request = request_of(job->spec);
     v.types = &job->spec.types;
@@ -220,7 +219,7 @@
 // take what comes free. So the first such gang in the queue goes on holding, one for each zone:
 // what comes free there goes to it, and what it lacks is rented there. It moves on if that takes
 // too long.
-void Controller::reserve_zones(const std::vector<JobRecord*>& jobs) {
+void SchedulingLoop::reserve_zones(const std::vector<JobRecord*>& jobs) {
   const Ms now = runtime_.now();
   std::set<std::string> taken;
   for (const std::size_t j : sched::queue_order(snapshot_.jobs)) {
--- a/src/leader/scheduling/planning.cc
+++ b/src/leader/scheduling/planning.cc
@@ -1,17 +1,17 @@
-// The Controller's decisions: from its snapshot of jobs and machines to starts, stops and rentals.
+// The SchedulingLoop's decisions: from its snapshot of jobs and machines to starts, stops and
+// rentals.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "leader/controller.h"
+#include "leader/scheduling/scheduling_loop.h"
 
 namespace seampass::leader {
 
 using net::Ms;
 using sched::request_of;
-using state::Urgency;
 
 namespace {
 
@@ -33,26 +33,24 @@
 
 }  // namespace
 
-void Controller::request_pass() {
-  if (pass_requested_ || !loaded_) return;
+void SchedulingLoop::request_pass() {
+  if (pass_requested_ || !recovered_) return;
   pass_requested_ = true;
-  const std::uint64_t term = term_;
   const Ms due = std::max(runtime_.now() + 1, next_pass_);
-  runtime_.after(due - runtime_.now(), [this, term, due] {
-    if (term != term_) return;
+  runtime_.after(due - runtime_.now(), term_.wrap([this, due] {
     pass_requested_ = false;
     run_pass(runtime_.now() - due);
-  });
+  }));
 }
 
-double Controller::longest_boot_s() const {
+double SchedulingLoop::longest_boot_s() const {
   double longest = 0;
   for (const auto& [name, t] : catalog_.types()) longest = std::max(longest, t.boot_s);
   return longest;
 }
 
-void Controller::run_pass(Ms lateness) {
-  if (!ready() || !catalog_.known()) return;
+void SchedulingLoop::run_pass(Ms lateness) {
+  if (!may_schedule() || !catalog_.known()) return;
   const Ms began = runtime_.now();
   snapshot_.choice = operator_settings_.machine_choice == "first-fit"
                          ? sched::MachineChoice::first_fit
@@ -99,17 +97,17 @@
                                 net::ms(kPassPause * settings_.heartbeat_interval_s));
 }
 
-void Controller::touch(std::size_t slot) {
+void SchedulingLoop::touch(std::size_t slot) {
   if (Machine* m = fleet_.find(snapshot_.machines[slot].name)) m->stale = true;
 }
 
-double Controller::age_s(const JobRecord& job) const {
+double SchedulingLoop::age_s(const JobRecord& job) const {
   return static_cast<double>(runtime_.wall() - job.ready_ms) / 1000;
 }
 
 // How long a start may wait and still meet the first of its class's aims that can be met; at least
 // half as long as a new machine would take.
-double Controller::wait_budget_s(const JobRecord& job) const {
+double SchedulingLoop::wait_budget_s(const JobRecord& job) const {
   const wire::Job& spec = job.spec;
   double boot = 0;
   double fetch = 0;
@@ -136,7 +134,7 @@
 }
 
 // For each class with a start aim: as many tasks as are likely to come while a machine boots.
-std::vector<sched::Headroom> Controller::headroom() const {
+std::vector<sched::Headroom> SchedulingLoop::headroom() const {
   std::vector<sched::Headroom> list;
   double spent = 0;
   for (const sched::MachineView& m : snapshot_.machines) spent += m.price;
@@ -191,14 +189,14 @@
   return list;
 }
 
-void Controller::preempt(const sched::Decisions& d) {
+void SchedulingLoop::preempt(const sched::Decisions& d) {
   std::vector<TaskAttempt*> stops;
   for (const sched::Preemption& e : d.preemptions) {
     double termination_grace_s = 0;
     for (const sched::Victim& v : e.tasks) {
-      TaskAttempt* c = find_attempt(v.job, v.task);
+      TaskAttempt* c = actions_.find_attempt(v.job, v.task);
       if (!c) continue;
-      stop_to_save(*c, audit::StopReason::room_needed);
+      actions_.stop_to_checkpoint(*c, audit::StopReason::room_needed);
       stops.push_back(c);
       termination_grace_s = std::max(termination_grace_s, c->termination_grace_s);
     }
@@ -209,10 +207,10 @@
         runtime_.now() + net::ms(termination_grace_s + 2 * settings_.heartbeat_interval_s);
     spdlog::debug("clearing {} of {} tasks for {}", m->name, e.tasks.size(), m->nominated_job);
   }
-  send_stops(stops);
+  actions_.send_stops(stops);
 }
 
-void Controller::plan() {
+void SchedulingLoop::plan() {
   const Ms now = runtime_.now();
   for (const auto& [name, m] : fleet_.machines()) {
     if (m.slot == Machine::kNoSlot) continue;
@@ -242,11 +240,11 @@
 
 // When nothing waits, the few tasks of a machine are moved together with others, and it is
 // returned.
-void Controller::consolidate() {
+void SchedulingLoop::consolidate() {
   const Ms now = runtime_.now();
   for (sched::MachineView& m : snapshot_.machines) {
     for (sched::Victim& v : m.victims) {
-      const TaskAttempt* c = find_attempt(v.job, v.task);
+      const TaskAttempt* c = actions_.find_attempt(v.job, v.task);
       if (!c) continue;
       v.left_s = c->job->spec.estimate_s - static_cast<double>(now - c->running_since) / 1000;
     }
@@ -260,42 +258,24 @@
     m->draining = true;
     spdlog::debug("emptying {} of {} tasks", m->name, m->attempts.size());
     for (const auto& [key, c] : m->attempts) {
-      stop_to_save(*c, audit::StopReason::machine_leaving);
+      actions_.stop_to_checkpoint(*c, audit::StopReason::machine_leaving);
       stops.push_back(c);
     }
   }
-  send_stops(stops);
+  actions_.send_stops(stops);
 }
 
-void Controller::start(JobRecord& job, const std::vector<sched::Placement>& tasks) {
-  const std::uint64_t attempt = ++job.last_attempt;
+void SchedulingLoop::start(JobRecord& job, const std::vector<sched::Placement>& tasks) {
   for (auto& [name, m] : fleet_.machines())
     if (m.nominated_job == job.spec.id) m.nominated_job.clear();
   job.all_or_nothing = false;
   job.reserved_zone.clear();
-  std::map<RecordId, std::vector<AttemptId>> by_record;
-  std::vector<AttemptId> all;
-  for (const sched::Placement& x : tasks) {
-    Machine* m = fleet_.find(snapshot_.machines[x.machine].name);
-    if (!m) continue;
-    m->stale = true;
-    attempts_.add(job, x.task, attempt, *m, m->incarnation);
-    all.push_back({job.spec.id, x.task, attempt});
-    by_record[layout_.record_of(x.task)].push_back(all.back());
-  }
-  spdlog::debug("starting {} tasks of {} try {} on {}", all.size(), job.spec.id, attempt,
-                snapshot_.machines[tasks.front().machine].name);
-  const std::string id = job.spec.id;
-  const bool gang = job.gang();
-  // A gang's start may span several records: nothing starts before the last is durable.
-  const auto waiting = std::make_shared<std::size_t>(by_record.size());
-  for (auto& [record, list] : by_record) {
-    record_changed(id, list.front().task, Urgency::assignment,
-                   [this, id, gang, waiting, all, list = list] {
-                     if (!gang) return on_assignment_durable(id, list);
-                     if (--*waiting == 0) on_assignment_durable(id, all);
-                   });
+  std::vector<PlacedTask> placed;
+  for (const sched::Placement& placement : tasks) {
+    Machine* machine = fleet_.find(snapshot_.machines[placement.machine].name);
+    if (machine) placed.push_back({placement.task, machine});
   }
+  actions_.launch(job, placed);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/upkeep.cc
+++ b/src/leader/scheduling/upkeep.cc
@@ -1,10 +1,10 @@
-// What the Controller does at regular intervals: leases that ended, holds, spot notices, making
+// What the SchedulingLoop does at regular intervals: leases that ended, holds, spot notices, making
 // way.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "leader/controller.h"
+#include "leader/scheduling/scheduling_loop.h"
 
 namespace seampass::leader {
 
@@ -25,7 +25,7 @@
 // No worker reaches this node, though the state service does: each is sent back to it by all others
 // until its lease is over. Two ticks in a row, since after standing still everything looks silent
 // until the sockets have been read.
-bool Controller::is_isolated() {
+bool SchedulingLoop::is_isolated() {
   const Ms now = runtime_.now();
   const bool in_time = now - ticked_ < net::ms(settings_.heartbeat_interval_s);
   ticked_ = now;
@@ -43,16 +43,14 @@
   return isolated_ticks_ >= 2;
 }
 
-void Controller::tick() {
-  const std::uint64_t term = term_;
+void SchedulingLoop::tick() {
   const Ms due = runtime_.now() + net::ms(settings_.heartbeat_interval_s / 3);
-  runtime_.after(due - runtime_.now(), [this, term, due] {
-    if (term != term_) return;
+  runtime_.after(due - runtime_.now(), term_.wrap([this, due] {
     lateness_ = runtime_.now() - due;
     tick();
-  });
+  }));
   if (runtime_.now() >= load_logged_ + net::ms(settings_.lease_s)) log_load();
-  if (!ready()) return;
+  if (!may_schedule()) return;
   if (is_isolated() && election_.resign()) return;
   release_expired();
   for (auto& [job_class, a] : arrivals_)
@@ -66,7 +64,7 @@
 }
 
 // What is on a machine that has been silent for longer than its worker's lease.
-void Controller::release_expired() {
+void SchedulingLoop::release_expired() {
   const Ms lease = net::ms(settings_.lease_s);
   // Twice the drift of 0.05% each way, and a little.
   const Ms margin = lease / 500 + 50;
@@ -77,14 +75,14 @@
     const bool confirmed = m.last_heartbeat_at >= 0 && m.token >= election_.epoch();
     if (attempts_.lease_expired(m, began_, confirmed, times)) expired.push_back(&m);
   }
-  for (Machine* m : expired) release_machine(*m, audit::AbsenceProof::lease_expired);
+  for (Machine* m : expired) actions_.release_machine(*m, audit::AbsenceProof::lease_expired);
 }
 
 // A gang that has held room for too long gives it back. The machines that are held still.
-std::set<std::string> Controller::expire_reservations() {
+std::set<std::string> SchedulingLoop::expire_reservations() {
   const Ms now = runtime_.now();
   std::set<std::string> held;
-  for (auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_) {
     if (!job->reservations.empty() && !job->all_or_nothing &&
         now - job->reservations_since > net::ms(operator_settings_.hold_timeout_s)) {
       job->reservations.clear();
@@ -97,7 +95,7 @@
 }
 
 // Once in a worker's lease.
-void Controller::log_load() {
+void SchedulingLoop::log_load() {
   load_logged_ = runtime_.now();
   audit::Load load;
   load.store = state_.counters();
@@ -110,7 +108,7 @@
 }
 
 // By machine type: what is paid for, and what it is used for.
-void Controller::log_use() const {
+void SchedulingLoop::log_use() const {
   struct Use {
     int up = 0, booting = 0, idle = 0, closed = 0, starting = 0, waiting = 0, running = 0;
   };
@@ -133,7 +131,7 @@
 }
 
 // Before the cloud takes a spot machine, what can save is told to.
-void Controller::drain_preempted() {
+void SchedulingLoop::drain_preempted() {
   const Ms now = runtime_.now();
   std::vector<TaskAttempt*> singles;
   std::map<std::string, JobRecord*> gangs;
@@ -147,14 +145,15 @@
       if (c->job->gang()) {
         gangs.emplace(spec.id, c->job);
       } else {
-        stop_to_save(*c, audit::StopReason::machine_leaving);
+        actions_.stop_to_checkpoint(*c, audit::StopReason::machine_leaving);
         singles.push_back(c);
       }
     }
   }
-  send_stops(singles);
+  actions_.send_stops(singles);
   for (const auto& [id, job] : gangs) {
-    stop_all(*job, job->spec.save_s + settings_.gang_peer_s, audit::StopReason::machine_leaving);
+    actions_.stop_all(*job, job->spec.save_s + settings_.gang_peer_s,
+                      audit::StopReason::machine_leaving);
   }
 }
 
