--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -41,15 +41,15 @@
       status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
       election_(
           runtime, state_, settings_.node, times_of(settings_),
-          [this] { controller_.start_term(); }, [this] { controller_.end_term(); },
+          [this] { leader_term_.start_term(); }, [this] { leader_term_.end_term(); },
           settings_.peers.size(), [this, &peers](std::uint64_t round) { announce(peers, round); }),
       cluster_(runtime, state_, settings_.peers, spans_of(settings_),
                ms(settings_.heartbeat_interval_s / 10)),
-      controller_(runtime, state_, cloud_, catalog_,
-                  workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
-                                  static_cast<std::size_t>(settings_.fd_limit) / 16),
-                  election_, status_reader_, cluster_, settings_, operator_settings_),
-      api_(runtime, state_, catalog_, election_, controller_, status_reader_, cluster_, peers,
+      leader_term_(runtime, state_, cloud_, catalog_,
+                   workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
+                                   static_cast<std::size_t>(settings_.fd_limit) / 16),
+                   election_, status_reader_, cluster_, settings_, operator_settings_),
+      api_(runtime, state_, catalog_, election_, leader_term_, status_reader_, cluster_, peers,
            settings_) {}
 
 void Node::announce(rpc::PeerTransport& peers, std::uint64_t round) {
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -6,8 +6,8 @@
 #include "config/settings.h"
 #include "jobs/api_handler.h"
 #include "jobs/job_status_reader.h"
-#include "leader/controller.h"
 #include "leader/election/election.h"
+#include "leader/leader_term.h"
 #include "leader/records/cluster_version.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
@@ -38,7 +38,7 @@
   jobs::JobStatusReader status_reader_;
   leader::Election election_;
   leader::ClusterVersion cluster_;
-  leader::Controller controller_;
+  leader::LeaderTerm leader_term_;
   jobs::ApiHandler api_;
 };
 
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -24,18 +24,22 @@
 constexpr std::string_view kAbort = "/abort";
 constexpr std::size_t kMaxAsks = 2000;
 
+leader::JobRequestKind kind_of(const rpc::JobRequest& request) {
+  return request.cancel ? leader::JobRequestKind::cancellation : leader::JobRequestKind::poll;
+}
+
 }  // namespace
 
 ApiHandler::ApiHandler(net::Runtime& runtime, state::Client& state,
                        const cloud::MachineCatalog& catalog, leader::Election& election,
-                       leader::Controller& controller, JobStatusReader& status_reader,
+                       leader::LeaderTerm& leader_term, JobStatusReader& status_reader,
                        leader::ClusterVersion& cluster, rpc::PeerTransport& peers,
                        const config::Settings& settings)
     : runtime_(runtime),
       state_(state),
       catalog_(catalog),
       election_(election),
-      controller_(controller),
+      leader_term_(leader_term),
       status_reader_(status_reader),
       cluster_(cluster),
       peers_(peers),
@@ -141,7 +145,7 @@
   if (!election_.leading()) return answer({421, wire::redirect_answer(election_.leader()), 0});
   try {
     const wire::Heartbeat report = wire::heartbeat_from(request.body);
-    auto r = controller_.handle_heartbeat(report);
+    auto r = leader_term_.handle_heartbeat(report);
     answer({r.status, std::move(r.body), 0, report.tasks.empty()});
   } catch (const wire::Malformed& e) {
     answer(refusal(400, e.what()));
@@ -150,7 +154,7 @@
 
 void ApiHandler::ask_leader(rpc::JobRequest ask, Ms timeout, Reply reply) {
   if (election_.leading())
-    return controller_.handle_job_request(ask.id, ask.cancel, std::move(reply));
+    return leader_term_.handle_job_request(ask.id, kind_of(ask), std::move(reply));
   const std::string node = election_.leader();
   if (node.empty() || asks_.size() >= kMaxAsks) return reply({});
   const std::uint64_t number = ask.number = next_++;
@@ -174,7 +178,7 @@
     if (!election_.leading()) return;
     const Json record = Json::parse(accepted->record, nullptr, false);
     if (!record.is_discarded())
-      controller_.on_job_accepted(accepted->id, record, accepted->version);
+      leader_term_.on_job_accepted(accepted->id, record, accepted->version);
   } else if (const auto* ask = std::get_if<rpc::JobRequest>(&message)) {
     const std::uint64_t number = ask->number;
     const auto reply = [this, from, number](rpc::JobReply a) {
@@ -187,7 +191,7 @@
       if (record.is_discarded()) return reply({});
       return accept(ask->id, record, false, reply);
     }
-    controller_.handle_job_request(ask->id, ask->cancel, reply);
+    leader_term_.handle_job_request(ask->id, kind_of(*ask), reply);
   } else if (const auto* leads = std::get_if<rpc::LeaderAnnouncement>(&message)) {
     election_.on_leader_announced(from, leads->epoch);
     if (leads->round != 0)
--- a/src/jobs/api_handler.h
+++ b/src/jobs/api_handler.h
@@ -8,8 +8,8 @@
 #include "cloud/machine_catalog.h"
 #include "config/settings.h"
 #include "jobs/job_status_reader.h"
-#include "leader/controller.h"
 #include "leader/election/election.h"
+#include "leader/leader_term.h"
 #include "leader/records/cluster_version.h"
 #include "net/http_server.h"
 #include "net/runtime.h"
@@ -21,7 +21,7 @@
 class ApiHandler {
  public:
   ApiHandler(net::Runtime& runtime, state::Client& state, const cloud::MachineCatalog& catalog,
-             leader::Election& election, leader::Controller& controller,
+             leader::Election& election, leader::LeaderTerm& leader_term,
              JobStatusReader& status_reader, leader::ClusterVersion& cluster,
              rpc::PeerTransport& peers, const config::Settings& settings);
 
@@ -61,7 +61,7 @@
   state::Client& state_;
   const cloud::MachineCatalog& catalog_;
   leader::Election& election_;
-  leader::Controller& controller_;
+  leader::LeaderTerm& leader_term_;
   JobStatusReader& status_reader_;
   leader::ClusterVersion& cluster_;
   rpc::PeerTransport& peers_;
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -5,6 +5,7 @@
 
 #include "jobs/api_handler.h"
 #include "jobs/responses.h"
+#include "leader/jobs/open_record.h"
 #include "leader/records/keys.h"
 #include "sched/snapshot.h"
 
@@ -66,7 +67,7 @@
   if (const auto v = status_reader_.final_status(id))
     return answer({200, wire::accepted_json(*v), 0});
   if (!catalog_.known()) return answer(later("machine types not known yet"));
-  const wire::Json record = leader::Controller::open_record(job, runtime_.wall());
+  const wire::Json record = leader::encode_open_record(job, runtime_.wall());
   std::string why = impossible(job);
   if (why.empty() && !storable(record)) why = "too large to be stored";
   if (!why.empty()) return refuse(id, why, answer);
@@ -143,7 +144,7 @@
                a.fresh = true;
                reply(a);
                if (election_.leading())
-                 controller_.on_job_accepted(id, record, t.revision);
+                 leader_term_.on_job_accepted(id, record, t.revision);
                else if (!election_.leader().empty())
                  peers_.send(election_.leader(), rpc::JobAccepted{id, record.dump(), t.revision});
              });
--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -1,7 +1,5 @@
 #include "leader/attempts/attempt_tracker.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 
 namespace seampass::leader {
@@ -53,7 +51,7 @@
   if (state != TaskState::running) return;
   ++job.running;
   if (attempt.running_since == 0) attempt.running_since = runtime_.now();
-  if (job.running == job.spec.tasks) spdlog::debug("all of {} run", job.spec.id);
+  if (job.running == job.spec.tasks) audit::all_running(job.spec.id);
 }
 
 void AttemptTracker::stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason why) {
@@ -71,12 +69,12 @@
 }
 
 bool AttemptTracker::mark_missing(Machine& machine, const std::set<TaskId>& reported,
-                                  bool heartbeat) {
+                                  ReportSource source) {
   bool any = false;
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task)) continue;
     const bool session_over = attempt->incarnation != machine.incarnation;
-    const bool disappeared = heartbeat && attempt->seen;
+    const bool disappeared = source == ReportSource::heartbeat && attempt->seen;
     attempt->missing = attempt->missing || session_over || disappeared;
     any = any || attempt->missing;
   }
--- a/src/leader/attempts/attempt_tracker.h
+++ b/src/leader/attempts/attempt_tracker.h
@@ -1,5 +1,8 @@
 // The attempts that take up room: which task is on which machine, what each team uses, and what
 // proves that an attempt is off its machine (docs/architecture.md, "Off").
+//
+// Owns each team's usage. Attempts belong to their JobRecord and are linked from their Machine;
+// this class alone adds and removes them, so that the three agree. Called on the loop's thread.
 #pragma once
 
 #include <map>
@@ -23,6 +26,9 @@
   net::Ms after_begin = 0;  // for any other, since this leader began
 };
 
+// How a worker's report came: by itself, or with the answer to a command.
+enum class ReportSource { heartbeat, command_answer };
+
 class AttemptTracker {
  public:
   explicit AttemptTracker(net::Runtime& runtime) : runtime_(runtime) {}
@@ -38,17 +44,18 @@
   // Marks it as to be stopped; the first call counts.
   void stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason why);
 
-  sched::Resources usage(const std::string& team) const;
+  [[nodiscard]] sched::Resources usage(const std::string& team) const;
 
   // Notes which attempts a report of this machine lacks; true if any is missing now. A heartbeat
   // that lacks an attempt which was seen before raises the question, as does any report of another
   // incarnation; the answer to a command does not, since a start may be on its way beside it.
-  static bool mark_missing(Machine& machine, const std::set<TaskId>& reported, bool heartbeat);
+  [[nodiscard]] static bool mark_missing(Machine& machine, const std::set<TaskId>& reported,
+                                         ReportSource source);
   // The missing attempts whose absence an inspection sent now would prove.
-  std::vector<AttemptId> to_inspect(const Machine& machine) const;
+  [[nodiscard]] std::vector<AttemptId> to_inspect(const Machine& machine) const;
   // True if the worker's own lease has ended, and its tasks with it.
-  bool lease_expired(const Machine& machine, net::Ms began, bool confirmed,
-                     const ExpiryTimes& times) const;
+  [[nodiscard]] bool lease_expired(const Machine& machine, net::Ms began, bool confirmed,
+                                   const ExpiryTimes& times) const;
 
  private:
   net::Runtime& runtime_;
@@ -56,6 +63,6 @@
 };
 
 // The attempt with this id on this machine, if it still exists.
-TaskAttempt* find_on(const Machine& machine, const AttemptId& id);
+[[nodiscard]] TaskAttempt* find_on(const Machine& machine, const AttemptId& id);
 
 }  // namespace seampass::leader
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -1,10 +1,10 @@
 #include "leader/jobs/dependency_tracker.h"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 #include <vector>
 
+#include "leader/audit_log.h"
+
 namespace seampass::leader {
 
 using Lookup = jobs::JobStatusReader::Lookup;
@@ -62,8 +62,7 @@
                    reading_.erase(job);
                    return hooks_.found_open(job, open);
                  }
-                 if (found == Lookup::not_found)
-                   spdlog::error("{} is depended on, and not in the store", job);
+                 if (found == Lookup::not_found) audit::unknown_dependency(job);
                  runtime_.after(retry_, callbacks_.wrap([this, job] {
                    if (graph_.unknown().contains(job)) return read(job);
                    reading_.erase(job);
--- a/src/leader/jobs/dependency_tracker.h
+++ b/src/leader/jobs/dependency_tracker.h
@@ -1,5 +1,7 @@
-// The leader's part that owns the graph of dependencies, and finds out what became of the jobs that
-// open ones depend on.
+// Finds out what became of the jobs that open ones depend on.
+//
+// Owns the graph of dependencies, and a callback scope of its own: renewed as the term ends, before
+// which hooks of the same change may end it. Called on the loop's thread.
 #pragma once
 
 #include <functional>
@@ -29,14 +31,15 @@
                     Hooks hooks);
 
   void end_term();
-  // An open job. Until `listed`, jobs that it names and that are not known are taken to come yet.
+  // An open job. Until the listing is complete, jobs that it names and that are not known are taken
+  // to come yet.
   void add(const wire::Job& job);
   // All open jobs have been listed: what is still unknown is read.
   void complete_listing();
   // The job's final status is durable.
   void on_final_status(const std::string& job, wire::Stage stage);
 
-  const sched::DependencyGraph& graph() const { return graph_; }
+  [[nodiscard]] const sched::DependencyGraph& graph() const { return graph_; }
 
  private:
   void apply(const std::string& cause, const sched::DependencyGraph::Effects& effects) const;
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -1,4 +1,7 @@
 // What the leader knows of a job and of the attempts of its tasks.
+//
+// Plain records, owned by the JobTable. Times of type net::Ms are in milliseconds of the steady
+// clock, those of type std::int64_t in milliseconds of the time of day; those in `_s` are seconds.
 #pragma once
 
 #include <algorithm>
@@ -29,19 +32,19 @@
   std::uint64_t number = 0;
   Machine* machine = nullptr;
   std::uint64_t incarnation = 0;
-  bool durable = false;
-  bool sent = false;  // a start may have reached the worker
-  bool seen = false;
+  bool durable = false;  // so is the record that has it: it may be started
+  bool sent = false;     // a start may have reached the worker
+  bool seen = false;     // a report of its worker had it
   bool missing = false;  // a report lacked it; not confirmed yet
   int in_flight = 0;     // starts on their way through /commands
   net::Ms start_sent_at = 0;
   wire::TaskState state = wire::TaskState::fetching;
   net::Ms running_since = 0;
-  bool stop = false;
+  bool stop = false;  // it is to stop
   double termination_grace_s = 0;
   net::Ms stop_since = 0;
 
-  AttemptId id() const;
+  [[nodiscard]] AttemptId id() const;
 };
 
 // A job's way from its acceptance to its end; it only goes forward.
@@ -80,11 +83,13 @@
   net::Ms zone_reserved_since = 0;
   // A durable record of its attempts can't be read: nothing of it may be started.
   bool unreadable = false;
-  wire::Stage stage = wire::Stage::queued;
+  wire::Stage stage = wire::Stage::queued;  // how it ended; queued: not known, or not yet
+  // Who waits for its end.
   std::vector<std::function<void(const rpc::JobReply&)>> waiters;
 
-  bool fails_everywhere() const { return failed_on.size() > 1; }
-  bool gang() const { return spec.kind == wire::JobKind::gang; }
+  // Its tasks failed on more than one machine, with nothing of it done in between.
+  [[nodiscard]] bool fails_everywhere() const { return failed_on.size() > 1; }
+  [[nodiscard]] bool gang() const { return spec.kind == wire::JobKind::gang; }
 
   // Tasks of it may be started.
   [[nodiscard]] bool active() const { return lifecycle_ == Lifecycle::active; }
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -1,81 +1,76 @@
-// The Controller's take-over: what the records say, then news of accepted jobs.
-#include <spdlog/spdlog.h>
+#include "leader/recovery/recovery.h"
 
 #include <algorithm>
+#include <cstddef>
 #include <utility>
 
-#include "leader/controller.h"
+#include "leader/audit_log.h"
 #include "leader/records/keys.h"
 
 namespace seampass::leader {
 
-using net::Ms;
-using state::Outcome;
+Recovery::Recovery(const LeaderContext& context, state::Client& state, const Parts& parts,
+                   Hooks hooks)
+    : context_(context),
+      parts_(parts),
+      hooks_(std::move(hooks)),
+      listing_(context, state, kWorkPrefix,
+               {[this](const state::ListResult& page, PrefixListing::PagePosition) {
+                  for (const state::Item& item : page.items) collect_record(item);
+                },
+                [this] {
+                  apply_collected_records();
+                  complete();
+                }}) {}
 
-void Controller::list_records(const std::string& prefix, const std::string& after, bool first) {
-  state_.list(prefix, after,
-              term_.callbacks().wrap([this, prefix, after, first](const state::ListResult& r) {
-                if (r.outcome != Outcome::ok) {
-                  runtime_.after(net::ms(settings_.heartbeat_interval_s / 10),
-                                 term_.callbacks().wrap([this, prefix, after, first] {
-                                   list_records(prefix, after, first);
-                                 }));
-                  return;
-                }
-                const bool open = prefix == kOpenPrefix;
-                // Jobs accepted from here on come by the watch.
-                if (open && first) {
-                  watched_ = r.revision;
-                  if (listed_ == 0) listed_ = r.revision;
-                }
-                for (const state::Item& item : r.items) {
-                  if (!open)
-                    collect_record(item);
-                  else if (const auto job = job_from_open_key(item.key))
-                    apply_open_record(*job, item.value, item.version);
-                }
-                if (r.more && !r.items.empty())
-                  return list_records(prefix, r.items.back().key, false);
-                if (open && term_.recovered())
-                  return watch();  // listed again after the watch had fallen behind
-                if (open) return list_records(kWorkPrefix, "", true);
-                apply_collected_records();
-                complete_recovery();
-              }));
+void Recovery::end_term() {
+  collected_.clear();
+  collected_job_.clear();
 }
 
-// Everything is listed: what the former leader left half done is settled, and scheduling begins.
-void Controller::complete_recovery() {
-  term_.complete_recovery();
+void Recovery::complete() {
+  hooks_.records_read();
+  settle_unfinished();
+  log_outcome();
+  parts_.dependencies.complete_listing();
+  parts_.watcher.watch();
+  hooks_.request_pass();
+}
+
+// What the former leader left half done. Each step can erase jobs, so this goes by name.
+void Recovery::settle_unfinished() {
   std::vector<std::string> ids;
-  for (const auto& [id, job] : jobs_) ids.push_back(id);
+  for (const auto& [id, job] : parts_.jobs) ids.push_back(id);
   for (const std::string& id : ids) {
-    JobRecord* job = jobs_.find(id);
+    JobRecord* job = parts_.jobs.find(id);
     if (!job) continue;
     if (job->ended()) {
       for (auto& [task, attempt] : job->attempts) attempt.stop = true;
-      erase_if_settled(id);
+      parts_.lifecycle.erase_if_settled(id);
       continue;
     }
     // Half an attempt in the records: the former leader did not get to start it all.
     if (job->gang() && !job->attempts.empty() &&
         job->attempts.size() + job->finished_count < job->spec.tasks)
-      lost_attempt(*job);
-    conclude_if_complete(*job);
+      parts_.attempts.stop_incomplete_gang(*job);
+    parts_.lifecycle.conclude_if_complete(*job);
   }
-  const auto ended = std::count_if(jobs_.begin(), jobs_.end(),
-                                   [](const auto& entry) { return entry.second->ended(); });
+}
+
+void Recovery::log_outcome() const {
+  std::size_t ended = 0;
   std::size_t attempts = 0;
-  for (const auto& [id, job] : jobs_) attempts += job->attempts.size();
-  audit::recovery_ended(election_.epoch(), listed_, jobs_.size() - static_cast<std::size_t>(ended),
-                        static_cast<std::size_t>(ended), attempts, runtime_.now() - term_.began());
-  dependencies_.complete_listing();
-  watch();
-  request_pass();
+  for (const auto& [id, job] : parts_.jobs) {
+    ended += job->ended() ? 1 : 0;
+    attempts += job->attempts.size();
+  }
+  audit::recovery_ended(context_.election.epoch(), parts_.watcher.first_listed(),
+                        parts_.jobs.size() - ended, ended, attempts,
+                        context_.runtime.now() - context_.term.began());
 }
 
 // Records come in the order of their keys, a job's chunks before its segments.
-void Controller::collect_record(const state::Item& item) {
+void Recovery::collect_record(const state::Item& item) {
   const auto key = parse_work_key(item.key);
   if (!key) return;
   const std::string& id = key->job;
@@ -83,22 +78,23 @@
   collected_job_ = id;
   try {
     if (!key->record) throw wire::Malformed("no record's name");
-    collected_.push_back(decode_task_record(*key->record, item.value, task_records_.layout()));
-    records_.add_existing(id, *key->record, item.version);
+    collected_.push_back(
+        decode_task_record(*key->record, item.value, parts_.task_records.layout()));
+    parts_.records.add_existing(id, *key->record, item.version);
   } catch (const wire::Malformed& error) {
     // It may hold attempts that are at work: not taken for none.
-    spdlog::error("unreadable record {}, {} is not scheduled: {}", item.key, id, error.what());
-    if (JobRecord* job = jobs_.find(id)) job->unreadable = true;
+    audit::unreadable_task_record(item.key, id, error.what());
+    if (JobRecord* job = parts_.jobs.find(id)) job->unreadable = true;
   }
 }
 
 // A segment counts before a chunk, for all tasks in its range: it is newer, whatever the chunk
 // says.
-void Controller::apply_collected_records() {
+void Recovery::apply_collected_records() {
   std::vector<TaskRecord> records = std::exchange(collected_, {});
   if (records.empty()) return;
-  JobRecord* known = jobs_.find(collected_job_);
-  JobRecord& job = known ? *known : ended_job(collected_job_, records.front());
+  JobRecord* known = parts_.jobs.find(collected_job_);
+  JobRecord& job = known ? *known : add_ended_job(collected_job_, records.front());
   const auto chunks = std::stable_partition(
       records.begin(), records.end(),
       [](const TaskRecord& record) { return record.id.layout == Layout::segments; });
@@ -112,8 +108,8 @@
   std::for_each(chunks, records.end(), apply);
 }
 
-// Ended, but some of its tasks were not known to be gone.
-JobRecord& Controller::ended_job(const std::string& id, const TaskRecord& record) {
+// Ended, but some of its tasks were not known to be off their machines.
+JobRecord& Recovery::add_ended_job(const std::string& id, const TaskRecord& record) {
   JobRecord job;
   job.spec.id = id;
   job.spec.team = record.team;
@@ -124,11 +120,11 @@
   job.advance_to(Lifecycle::ended);
   job.claimed.assign(job.spec.tasks, true);
   job.finished.assign(job.spec.tasks, false);
-  return jobs_.add(std::move(job));
+  return parts_.jobs.add(std::move(job));
 }
 
-void Controller::apply_record(JobRecord& job, const TaskRecord& record,
-                              const std::vector<bool>& covered) {
+void Recovery::apply_record(JobRecord& job, const TaskRecord& record,
+                            const std::vector<bool>& covered) {
   const auto is_other = [&](std::uint32_t task) { return task >= job.spec.tasks || covered[task]; };
   job.last_attempt = std::max(job.last_attempt, record.last_attempt);
   for (std::uint32_t i = 0; i < record.finished.size(); ++i) {
@@ -137,31 +133,11 @@
   }
   for (const Assignment& assigned : record.assignments) {
     if (is_other(assigned.task) || job.attempts.contains(assigned.task)) continue;
-    TaskAttempt& attempt = attempts_.add(job, assigned.task, assigned.attempt,
-                                         fleet_.ensure(assigned.machine), assigned.incarnation);
+    TaskAttempt& attempt =
+        parts_.tracker.add(job, assigned.task, assigned.attempt,
+                           parts_.fleet.ensure(assigned.machine), assigned.incarnation);
     attempt.durable = attempt.sent = true;
   }
 }
 
-void Controller::watch() {
-  state_.watch(kOpenPrefix, watched_, net::ms(settings_.lease_s),
-               term_.callbacks().wrap([this](const state::WatchResult& r) {
-                 if (r.outcome == Outcome::missing) {
-                   // Too far behind: list again. Jobs known already are not touched.
-                   return list_records(kOpenPrefix, "", true);
-                 }
-                 if (r.outcome != Outcome::ok) {
-                   runtime_.after(net::ms(settings_.heartbeat_interval_s / 10),
-                                  term_.callbacks().wrap([this] { watch(); }));
-                   return;
-                 }
-                 watched_ = r.revision;
-                 for (const state::Event& event : r.events) {
-                   const auto job = job_from_open_key(event.key);
-                   if (job && event.value) apply_open_record(*job, *event.value, event.version);
-                 }
-                 watch();
-               }));
-}
-
 }  // namespace seampass::leader
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -121,9 +121,9 @@
   machine.incarnation = 4;
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 4);
   attempt.seen = true;
-  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, false));
-  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {{"wk-1", 0}}, true));
-  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, true));
+  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
+  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {{"wk-1", 0}}, ReportSource::heartbeat));
+  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
 }
 
 TEST_F(AttemptTrackerTest, AnAttemptThatWasNeverSeenIsMissingOnlyOnceItsSessionIsOver) {
@@ -131,9 +131,9 @@
   Machine machine;
   machine.incarnation = 4;
   tracker.add(record, 0, 1, machine, 4);
-  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, true));
+  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
   machine.incarnation = 5;
-  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, false));
+  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
 }
 
 TEST_F(AttemptTrackerTest, NothingIsInspectedWhileItsStartMayBeOnItsWay) {
--- a/tests/duplicate_delivery_test.cc
+++ b/tests/duplicate_delivery_test.cc
@@ -5,6 +5,7 @@
 #include <thread>
 
 #include "fakes/world.h"
+#include "leader/jobs/open_record.h"
 #include "net/loop.h"
 
 namespace seampass::fakes {
@@ -109,7 +110,7 @@
   ASSERT_TRUE(w.settle());
   w.submit("n0", array_job("wk-1", 1, 2));
   ASSERT_TRUE(w.reaches("wk-1", "done", 30000));
-  const std::string record = leader::Controller::open_record(array_job("wk-1", 1, 2), 5).dump();
+  const std::string record = leader::encode_open_record(array_job("wk-1", 1, 2), 5).dump();
   for (const char* n : {"n0", "n1", "n2"}) w.kill(n);
   for (const char* n : {"n0", "n1", "n2"}) w.start(n);
   w.time.run_for(100);
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -7,7 +7,7 @@
 #include <gtest/gtest.h>
 
 #include "jobs/final_status.h"
-#include "leader/controller.h"
+#include "leader/jobs/open_record.h"
 #include "leader/records/keys.h"
 #include "leader/records/task_record.h"
 
@@ -86,8 +86,8 @@
 }
 
 TEST(Formats, WritesAnOpenJobAsBefore) {
-  EXPECT_EQ(leader::Controller::open_record(full_job(), kCreated).dump(), kFullOpenRecord);
-  EXPECT_EQ(leader::Controller::open_record(plain_job(), kCreated).dump(), kPlainOpenRecord);
+  EXPECT_EQ(leader::encode_open_record(full_job(), kCreated).dump(), kFullOpenRecord);
+  EXPECT_EQ(leader::encode_open_record(plain_job(), kCreated).dump(), kPlainOpenRecord);
 }
 
 TEST(Formats, ReadsAnOpenJobWithEveryField) {
