--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -42,22 +42,22 @@
       status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
       election_(
           runtime, state_, settings_.node, times_of(settings_),
-          [this] { controller_.start_term(); }, [this] { controller_.end_term(); },
+          [this] { leader_term_.start_term(); }, [this] { leader_term_.end_term(); },
           settings_.peers.size(), [this, &peers](std::uint64_t round) { announce(peers, round); }),
       cluster_(runtime, state_, settings_.peers, spans_of(settings_),
                ms(settings_.heartbeat_interval_s / 10)),
-      controller_(runtime, state_, cloud_, catalog_,
-                  workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
-                                  static_cast<std::size_t>(settings_.fd_limit) / 16),
-                  election_, status_reader_, cluster_, settings_, operator_settings_),
-      leader_client_(runtime, election_, controller_, status_reader_, peers, settings_),
+      leader_term_(runtime, state_, cloud_, catalog_,
+                   workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
+                                   static_cast<std::size_t>(settings_.fd_limit) / 16),
+                   election_, status_reader_, cluster_, settings_, operator_settings_),
+      leader_client_(runtime, election_, leader_term_, status_reader_, peers, settings_),
       job_status_finder_(status_reader_, leader_client_),
-      acceptance_(state_, election_, controller_, job_status_finder_, leader_client_, peers),
+      acceptance_(state_, election_, leader_term_, job_status_finder_, leader_client_, peers),
       submissions_(runtime, state_, catalog_, status_reader_, job_status_finder_, acceptance_,
                    settings_),
       queries_(status_reader_, job_status_finder_, leader_client_),
-      api_(catalog_, election_, controller_, submissions_, queries_),
-      peer_messages_(peers, election_, controller_, cluster_, acceptance_, leader_client_) {}
+      api_(catalog_, election_, leader_term_, submissions_, queries_),
+      peer_messages_(peers, election_, leader_term_, cluster_, acceptance_, leader_client_) {}
 
 void Node::announce(rpc::PeerTransport& peers, std::uint64_t round) {
   for (const config::Peer& p : settings_.peers) {
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -13,8 +13,8 @@
 #include "jobs/leader_client.h"
 #include "jobs/peer_message_handler.h"
 #include "jobs/submissions.h"
-#include "leader/controller.h"
 #include "leader/election/election.h"
+#include "leader/leader_term.h"
 #include "leader/records/cluster_version.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
@@ -45,7 +45,7 @@
   jobs::JobStatusReader status_reader_;
   leader::Election election_;
   leader::ClusterVersion cluster_;
-  leader::Controller controller_;
+  leader::LeaderTerm leader_term_;
   jobs::LeaderClient leader_client_;
   jobs::JobStatusFinder job_status_finder_;
   jobs::JobAcceptance acceptance_;
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -55,11 +55,11 @@
 }  // namespace
 
 ApiHandler::ApiHandler(const cloud::MachineCatalog& catalog, leader::Election& election,
-                       leader::Controller& controller, Submissions& submissions,
+                       leader::LeaderTerm& leader_term, Submissions& submissions,
                        JobQueries& queries)
     : catalog_(catalog),
       election_(election),
-      controller_(controller),
+      leader_term_(leader_term),
       submissions_(submissions),
       queries_(queries) {}
 
@@ -93,7 +93,7 @@
   if (!election_.leading()) return answer({421, wire::redirect_answer(election_.leader()), 0});
   try {
     const wire::Heartbeat heartbeat = wire::heartbeat_from(body);
-    leader::HeartbeatReply reply = controller_.handle_heartbeat(heartbeat);
+    leader::HeartbeatReply reply = leader_term_.handle_heartbeat(heartbeat);
     // A worker without tasks has little use for its connection.
     const bool may_close = heartbeat.tasks.empty();
     answer({reply.status, std::move(reply.body), 0, may_close});
--- a/src/jobs/api_handler.h
+++ b/src/jobs/api_handler.h
@@ -8,8 +8,8 @@
 #include "cloud/machine_catalog.h"
 #include "jobs/job_queries.h"
 #include "jobs/submissions.h"
-#include "leader/controller.h"
 #include "leader/election/election.h"
+#include "leader/leader_term.h"
 #include "net/http_server.h"
 
 namespace seampass::jobs {
@@ -17,7 +17,7 @@
 class ApiHandler {
  public:
   ApiHandler(const cloud::MachineCatalog& catalog, leader::Election& election,
-             leader::Controller& controller, Submissions& submissions, JobQueries& queries);
+             leader::LeaderTerm& leader_term, Submissions& submissions, JobQueries& queries);
 
   // Each request is answered once, perhaps after the call has returned.
   void handle(const net::Request& request, const net::Answer& answer);
@@ -28,7 +28,7 @@
 
   const cloud::MachineCatalog& catalog_;
   leader::Election& election_;
-  leader::Controller& controller_;
+  leader::LeaderTerm& leader_term_;
   Submissions& submissions_;
   JobQueries& queries_;
 };
--- a/src/jobs/job_acceptance.cc
+++ b/src/jobs/job_acceptance.cc
@@ -28,11 +28,11 @@
 }  // namespace
 
 JobAcceptance::JobAcceptance(state::Client& state, leader::Election& election,
-                             leader::Controller& controller, JobStatusFinder& finder,
+                             leader::LeaderTerm& leader_term, JobStatusFinder& finder,
                              LeaderClient& leader_client, rpc::PeerTransport& peers)
     : state_(state),
       election_(election),
-      controller_(controller),
+      leader_term_(leader_term),
       finder_(finder),
       leader_client_(leader_client),
       peers_(peers) {}
@@ -67,7 +67,7 @@
 // The leader would find the job by its watch of the store as well, only later.
 void JobAcceptance::announce(const Request& request, state::Version version) {
   if (election_.leading())
-    controller_.on_job_accepted(request.job, request.record, version);
+    leader_term_.on_job_accepted(request.job, request.record, version);
   else if (!election_.leader().empty())
     peers_.send(election_.leader(), rpc::JobAccepted{request.job, request.record.dump(), version});
 }
--- a/src/jobs/job_acceptance.h
+++ b/src/jobs/job_acceptance.h
@@ -8,8 +8,8 @@
 
 #include "jobs/job_status_finder.h"
 #include "jobs/leader_client.h"
-#include "leader/controller.h"
 #include "leader/election/election.h"
+#include "leader/leader_term.h"
 #include "rpc/peer.h"
 #include "state/client.h"
 #include "wire/json_fields.h"
@@ -22,7 +22,7 @@
 
 class JobAcceptance {
  public:
-  JobAcceptance(state::Client& state, leader::Election& election, leader::Controller& controller,
+  JobAcceptance(state::Client& state, leader::Election& election, leader::LeaderTerm& leader_term,
                 JobStatusFinder& finder, LeaderClient& leader_client, rpc::PeerTransport& peers);
 
   // Replies with `found` and `fresh` if this call has made the job durable, with what is known of
@@ -44,7 +44,7 @@
 
   state::Client& state_;
   leader::Election& election_;
-  leader::Controller& controller_;
+  leader::LeaderTerm& leader_term_;
   JobStatusFinder& finder_;
   LeaderClient& leader_client_;
   rpc::PeerTransport& peers_;
--- a/src/jobs/leader_client.cc
+++ b/src/jobs/leader_client.cc
@@ -14,11 +14,11 @@
 }  // namespace
 
 LeaderClient::LeaderClient(net::Runtime& runtime, leader::Election& election,
-                           leader::Controller& controller, JobStatusReader& status_reader,
+                           leader::LeaderTerm& leader_term, JobStatusReader& status_reader,
                            rpc::PeerTransport& peers, const config::Settings& settings)
     : runtime_(runtime),
       election_(election),
-      controller_(controller),
+      leader_term_(leader_term),
       status_reader_(status_reader),
       peers_(peers),
       timeout_(net::ms(settings.heartbeat_interval_s / 5)),
@@ -53,7 +53,8 @@
 
 void LeaderClient::request(rpc::JobRequest request, Ms timeout, JobReplyHandler on_reply) {
   if (election_.leading())
-    return controller_.handle_job_request(request.id, request.cancel, std::move(on_reply));
+    return leader_term_.handle_job_request(request.id, leader::kind_of(request),
+                                           std::move(on_reply));
   const std::string leader = election_.leader();
   if (leader.empty() || pending_.size() >= kMaxPending) return on_reply({});
   const std::uint64_t number = next_number_++;
--- a/src/jobs/leader_client.h
+++ b/src/jobs/leader_client.h
@@ -9,8 +9,8 @@
 
 #include "config/settings.h"
 #include "jobs/job_status_reader.h"
-#include "leader/controller.h"
 #include "leader/election/election.h"
+#include "leader/leader_term.h"
 #include "net/runtime.h"
 #include "rpc/peer.h"
 
@@ -20,7 +20,7 @@
 
 class LeaderClient {
  public:
-  LeaderClient(net::Runtime& runtime, leader::Election& election, leader::Controller& controller,
+  LeaderClient(net::Runtime& runtime, leader::Election& election, leader::LeaderTerm& leader_term,
                JobStatusReader& status_reader, rpc::PeerTransport& peers,
                const config::Settings& settings);
 
@@ -49,7 +49,7 @@
 
   net::Runtime& runtime_;
   leader::Election& election_;
-  leader::Controller& controller_;
+  leader::LeaderTerm& leader_term_;
   JobStatusReader& status_reader_;
   rpc::PeerTransport& peers_;
   net::Ms timeout_;
--- a/src/jobs/peer_message_handler.cc
+++ b/src/jobs/peer_message_handler.cc
@@ -18,12 +18,12 @@
 }  // namespace
 
 PeerMessageHandler::PeerMessageHandler(rpc::PeerTransport& peers, leader::Election& election,
-                                       leader::Controller& controller,
+                                       leader::LeaderTerm& leader_term,
                                        leader::ClusterVersion& cluster, JobAcceptance& acceptance,
                                        LeaderClient& leader_client)
     : peers_(peers),
       election_(election),
-      controller_(controller),
+      leader_term_(leader_term),
       cluster_(cluster),
       acceptance_(acceptance),
       leader_client_(leader_client) {
@@ -36,7 +36,7 @@
 void PeerMessageHandler::receive(const std::string& /*from*/, const rpc::JobAccepted& accepted) {
   if (!election_.leading()) return;
   if (const auto record = parse_record(accepted.record))
-    controller_.on_job_accepted(accepted.id, *record, accepted.version);
+    leader_term_.on_job_accepted(accepted.id, *record, accepted.version);
 }
 
 void PeerMessageHandler::receive(const std::string& from, const rpc::JobRequest& request) {
@@ -46,7 +46,7 @@
   };
   if (!election_.leading()) return on_reply({});
   if (request.record.empty())
-    return controller_.handle_job_request(request.id, request.cancel, on_reply);
+    return leader_term_.handle_job_request(request.id, leader::kind_of(request), on_reply);
   const auto record = parse_record(request.record);
   if (!record) return on_reply({});
   acceptance_.accept(request.id, *record, Forwarding::forbidden, on_reply);
--- a/src/jobs/peer_message_handler.h
+++ b/src/jobs/peer_message_handler.h
@@ -6,8 +6,8 @@
 
 #include "jobs/job_acceptance.h"
 #include "jobs/leader_client.h"
-#include "leader/controller.h"
 #include "leader/election/election.h"
+#include "leader/leader_term.h"
 #include "leader/records/cluster_version.h"
 #include "rpc/peer.h"
 
@@ -17,7 +17,7 @@
  public:
   // From now on it is what `peers` delivers to.
   PeerMessageHandler(rpc::PeerTransport& peers, leader::Election& election,
-                     leader::Controller& controller, leader::ClusterVersion& cluster,
+                     leader::LeaderTerm& leader_term, leader::ClusterVersion& cluster,
                      JobAcceptance& acceptance, LeaderClient& leader_client);
 
  private:
@@ -29,7 +29,7 @@
 
   rpc::PeerTransport& peers_;
   leader::Election& election_;
-  leader::Controller& controller_;
+  leader::LeaderTerm& leader_term_;
   leader::ClusterVersion& cluster_;
   JobAcceptance& acceptance_;
   LeaderClient& leader_client_;
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -2,7 +2,8 @@
 
 #include "jobs/dependency_check.h"
 #include "jobs/http_answers.h"
-#include "leader/controller.h"
+#include "leader/jobs/open_record.h"
+#include "leader/leader_term.h"
 #include "wire/user_codec.h"
 
 namespace seampass::jobs {
@@ -36,7 +37,7 @@
   if (const auto known = status_reader_.final_status(job.id))
     return answer({200, wire::accepted_answer(*known), 0});
   if (!catalog_.known()) return answer(unavailable("machine types not known yet"));
-  const wire::Json record = leader::Controller::open_record(job, runtime_.wall());
+  const wire::Json record = leader::encode_open_record(job, runtime_.wall());
   if (const auto rejection = admission_.rejection(job, record, catalog_.types()))
     return reject(job.id, *rejection, answer);
   // More waits for the store than it can take before the user would stop waiting.
--- /dev/null
+++ b/src/leader/attempts/absence_verifier.cc
@@ -0,0 +1,66 @@
+#include "leader/attempts/absence_verifier.h"
+
+#include <map>
+#include <optional>
+
+#include "leader/audit_log.h"
+
+namespace seampass::leader {
+
+using wire::TaskState;
+
+AbsenceVerifier::AbsenceVerifier(const LeaderContext& context, workers::Client& workers,
+                                 Fleet& fleet, const AttemptTracker& tracker,
+                                 AttemptLifecycle& attempts, CommandDispatcher& commands)
+    : context_(context),
+      workers_(workers),
+      fleet_(fleet),
+      tracker_(tracker),
+      attempts_(attempts),
+      commands_(commands) {}
+
+void AbsenceVerifier::verify(Machine& machine) {
+  if (machine.inspecting || machine.deleting) return;
+  const std::vector<AttemptId> asked = tracker_.to_inspect(machine);
+  if (asked.empty()) return;
+  machine.inspecting = true;
+  workers_.inspect(
+      machine.addr,
+      context_.term.callbacks().wrap(
+          [this, name = machine.name, asked](const std::optional<wire::Heartbeat>& report) {
+            Machine* inspected = fleet_.find(name);
+            if (!inspected) return;
+            inspected->inspecting = false;
+            if (!report || report->machine != name) return commands_.on_unanswered(*inspected);
+            if (report->token > context_.election.epoch())
+              return context_.election.step_down(audit::StepDownReason::worker_shows_higher_epoch);
+            on_inspection(*inspected, *report, asked);
+          }));
+}
+
+void AbsenceVerifier::on_inspection(Machine& machine, const wire::Heartbeat& report,
+                                    const std::vector<AttemptId>& asked) {
+  std::map<AttemptId, const wire::TaskStatus*> present;
+  for (const wire::TaskStatus& task : report.tasks) present[id_of(task)] = &task;
+  std::vector<TaskAttempt*> gone;
+  std::vector<AttemptId> exited;
+  for (const AttemptId& id : asked) {
+    TaskAttempt* attempt = find_on(machine, id);
+    if (!attempt || !attempt->missing || attempt->in_flight > 0) continue;
+    const auto found = present.find(id);
+    if (found == present.end()) {
+      gone.push_back(attempt);
+      continue;
+    }
+    attempt->missing = false;
+    attempt->seen = true;
+    if (found->second->state == TaskState::exited) exited.push_back(id);
+  }
+  attempts_.release_lost(gone, audit::AbsenceProof::inspected);
+  for (const AttemptId& id : exited) {
+    TaskAttempt* attempt = find_on(machine, id);
+    if (attempt) attempts_.on_task_exited(*attempt, *present.at(id));
+  }
+}
+
+}  // namespace seampass::leader
--- a/src/leader/audit_log.cc
+++ b/src/leader/audit_log.cc
@@ -8,18 +8,19 @@
 
 namespace {
 
+// How reasons, proofs and causes are written: the enumerators' own names.
 const char* name_of(StepDownReason why) {
   switch (why) {
     case StepDownReason::lease_ended:
-      return "its lease ended";
+      return "lease_ended";
     case StepDownReason::worker_shows_higher_epoch:
-      return "a worker shows a higher epoch";
+      return "worker_shows_higher_epoch";
     case StepDownReason::peer_shows_higher_epoch:
-      return "a peer shows a higher epoch";
+      return "peer_shows_higher_epoch";
     case StepDownReason::fenced:
-      return "a transaction was fenced";
+      return "fenced";
     case StepDownReason::resigned:
-      return "it resigned, no worker is heard";
+      return "resigned";
   }
   return "?";
 }
@@ -27,15 +28,15 @@
 const char* name_of(AbsenceProof proof) {
   switch (proof) {
     case AbsenceProof::reported_ended:
-      return "reported as ended";
+      return "reported_ended";
     case AbsenceProof::inspected:
-      return "an inspection lacks it";
+      return "inspected";
     case AbsenceProof::machine_deleted:
-      return "its machine is deleted";
+      return "machine_deleted";
     case AbsenceProof::lease_expired:
-      return "its worker's lease has expired";
+      return "lease_expired";
     case AbsenceProof::never_sent:
-      return "its start was never sent";
+      return "never_sent";
   }
   return "?";
 }
@@ -43,15 +44,15 @@
 const char* name_of(StopReason why) {
   switch (why) {
     case StopReason::job_over:
-      return "its job is over";
+      return "job_over";
     case StopReason::gang_incomplete:
-      return "its gang lost a task";
+      return "gang_incomplete";
     case StopReason::room_needed:
-      return "its room is needed";
+      return "room_needed";
     case StopReason::machine_leaving:
-      return "its machine is to leave";
+      return "machine_leaving";
     case StopReason::not_wanted:
-      return "it was found at work and is not wanted";
+      return "not_wanted";
   }
   return "?";
 }
@@ -59,9 +60,9 @@
 const char* name_of(AnswerBasis basis) {
   switch (basis) {
     case AnswerBasis::cache_written:
-      return "cache, written";
+      return "cache_written";
     case AnswerBasis::cache_derived:
-      return "cache, derived";
+      return "cache_derived";
     case AnswerBasis::leader:
       return "leader";
     case AnswerBasis::store:
@@ -70,76 +71,132 @@
   return "?";
 }
 
+const char* name_of(wire::ExitCause cause) {
+  switch (cause) {
+    case wire::ExitCause::none:
+      return "none";
+    case wire::ExitCause::done:
+      return "done";
+    case wire::ExitCause::stopped:
+      return "stopped";
+    case wire::ExitCause::peers:
+      return "peers";
+    case wire::ExitCause::alone:
+      return "alone";
+    case wire::ExitCause::error:
+      return "error";
+    case wire::ExitCause::no_room:
+      return "no_room";
+    case wire::ExitCause::busy:
+      return "busy";
+    case wire::ExitCause::unknown:
+      return "unknown";
+  }
+  return "?";
+}
+
+const char* name_of(StartPath path) {
+  return path == StartPath::heartbeat ? "heartbeat" : "command";
+}
+
 }  // namespace
 
-void elected(std::uint64_t epoch) { spdlog::info("leading, epoch {}", epoch); }
+void elected(std::uint64_t epoch) { spdlog::info("elected epoch={}", epoch); }
 
 void stepped_down(std::uint64_t epoch, StepDownReason why, net::Ms since_grant) {
-  spdlog::info("no longer leading, epoch {}: {}; lease granted {} ms ago", epoch, name_of(why),
+  spdlog::info("stepped_down epoch={} reason={} since_grant_ms={}", epoch, name_of(why),
                since_grant);
 }
 
 void renewal_failed(std::uint64_t epoch, net::Ms since_grant) {
-  spdlog::info("lease not renewed, epoch {}, granted {} ms ago", epoch, since_grant);
+  spdlog::info("renewal_failed epoch={} since_grant_ms={}", epoch, since_grant);
 }
 
 void extended_by_peers(std::uint64_t epoch, net::Ms since_grant) {
-  spdlog::info(
-      "all peers know no higher epoch than {}: workers are kept without a lease, granted "
-      "{} ms ago",
-      epoch, since_grant);
+  spdlog::info("extended_by_peers epoch={} since_grant_ms={}", epoch, since_grant);
 }
 
 void recovery_ended(std::uint64_t epoch, state::Version listed, std::size_t open_jobs,
                     std::size_t ended_jobs, std::size_t attempts, net::Ms took) {
-  spdlog::info(
-      "recovered {} open jobs, {} ended ones, {} attempts: epoch {}, listed at revision {}, in {} "
-      "ms",
-      open_jobs, ended_jobs, attempts, epoch, listed, took);
+  spdlog::info("recovered open_jobs={} ended_jobs={} attempts={} epoch={} revision={} took_ms={}",
+               open_jobs, ended_jobs, attempts, epoch, listed, took);
 }
 
 void load(const Load& load) {
   spdlog::info(
-      "load: {} reads, {} writes, {} refused, {} unknown; waiting {} reads, {} writes, {} ms; turn "
-      "{} ms; lease granted {} ms ago",
+      "load reads={} writes={} refused={} unknown={} waiting_reads={} waiting_writes={} "
+      "backlog_ms={} turn_ms={} since_grant_ms={}",
       load.store.reads, load.store.writes, load.store.refused, load.store.unknown,
       load.waiting_reads, load.waiting_writes, load.backlog, load.lateness, load.since_grant);
 }
 
+void unreadable_job(const std::string& job, const std::string& error) {
+  spdlog::error("unreadable_job job={} error=\"{}\"", job, error);
+}
+
+void unreadable_task_record(const std::string& key, const std::string& job,
+                            const std::string& error) {
+  spdlog::error("unreadable_task_record key={} not_scheduled={} error=\"{}\"", key, job, error);
+}
+
+void unknown_dependency(const std::string& job) { spdlog::error("unknown_dependency job={}", job); }
+
+void queued(const wire::Job& job) {
+  spdlog::debug("queued job={} class={} tasks={} team={}", job.id, job.job_class, job.tasks,
+                job.team);
+}
+
 void record_durable(const std::string& job, const RecordId& record, state::Version revision) {
   if (!spdlog::should_log(spdlog::level::debug)) return;
-  spdlog::debug("durable work/{}/{} at revision {}", job, record_name(record), revision);
+  spdlog::debug("record_durable key={} revision={}", work_key(job, record), revision);
 }
 
 void final_status(const std::string& job, wire::Stage stage, state::Version revision) {
-  spdlog::debug("final status of {}: {}, at revision {}", job, wire::stage_name(stage), revision);
+  spdlog::debug("final_status job={} stage={} revision={}", job, wire::stage_name(stage), revision);
 }
 
 void ready(const std::string& job, const std::string& last_dependency) {
-  spdlog::debug("ready {}, the last that it depends on is {}", job, last_dependency);
+  spdlog::debug("ready job={} last_dependency={}", job, last_dependency);
+}
+
+void cancelled_with_dependency(const std::string& job) {
+  spdlog::debug("cancelled_with_dependency job={}", job);
+}
+
+void launch(const std::string& job, std::uint64_t attempt, std::size_t tasks,
+            const std::string& first_machine) {
+  spdlog::debug("launch job={} attempt={} tasks={} first_machine={}", job, attempt, tasks,
+                first_machine);
 }
 
 void start(const AttemptId& attempt, const std::string& machine, std::uint64_t incarnation,
-           std::uint64_t epoch, bool in_heartbeat) {
-  spdlog::debug(
-      "start {}/{} try {} on {} incarnation {} by {}: epoch {}, assignment durable, nothing "
-      "upstream open",
-      attempt.job, attempt.task, attempt.attempt, machine, incarnation,
-      in_heartbeat ? "heartbeat" : "command", epoch);
+           std::uint64_t epoch, StartPath path) {
+  spdlog::debug("start job={} task={} attempt={} machine={} incarnation={} epoch={} path={}",
+                attempt.job, attempt.task, attempt.attempt, machine, incarnation, epoch,
+                name_of(path));
 }
 
+void all_running(const std::string& job) { spdlog::debug("all_running job={}", job); }
+
 void stop(const AttemptId& attempt, const std::string& machine, StopReason why) {
-  spdlog::debug("stop {}/{} try {} on {}: {}", attempt.job, attempt.task, attempt.attempt, machine,
-                name_of(why));
+  spdlog::debug("stop job={} task={} attempt={} machine={} reason={}", attempt.job, attempt.task,
+                attempt.attempt, machine, name_of(why));
+}
+
+void exited(const AttemptId& attempt, const std::string& machine, wire::ExitCause cause,
+            bool stopping) {
+  spdlog::debug("exited job={} task={} attempt={} machine={} cause={} stopping={}", attempt.job,
+                attempt.task, attempt.attempt, machine, name_of(cause), stopping);
 }
 
 void absent(const AttemptId& attempt, const std::string& machine, AbsenceProof proof) {
-  spdlog::debug("off {}/{} try {} on {}: {}", attempt.job, attempt.task, attempt.attempt, machine,
-                name_of(proof));
+  spdlog::debug("absent job={} task={} attempt={} machine={} proof={}", attempt.job, attempt.task,
+                attempt.attempt, machine, name_of(proof));
 }
 
 void answer(const wire::JobStatus& status, AnswerBasis basis) {
-  spdlog::debug("answer {}: {} by {}", status.id, wire::stage_name(status.stage), name_of(basis));
+  spdlog::debug("answer job={} stage={} basis={}", status.id, wire::stage_name(status.stage),
+                name_of(basis));
 }
 
 }  // namespace seampass::leader::audit
--- a/src/leader/audit_log.h
+++ b/src/leader/audit_log.h
@@ -1,6 +1,9 @@
 // The log lines from which a job can be followed from one controller to the next: who led under
-// which epoch, what was read, and why a start, a stop, an absence or an answer was allowed. One
-// place formats them; nothing is formatted while the level is off.
+// which epoch, what was read, and why a start, a stop, an absence or an answer was allowed.
+//
+// Every line has the form `event key=value ...`; times end in `_ms`. Free text, as of an error,
+// stands last and in quotes. This is the one place that formats them, and nothing is formatted
+// while the level is off. Functions without state, called on the loop's thread.
 #pragma once
 
 #include <cstddef>
@@ -27,6 +30,8 @@
 enum class AbsenceProof { reported_ended, inspected, machine_deleted, lease_expired, never_sent };
 // Why an attempt is to stop.
 enum class StopReason { job_over, gang_incomplete, room_needed, machine_leaving, not_wanted };
+// How a start travels to the worker.
+enum class StartPath { command, heartbeat };
 // What an answer to a user rests on.
 enum class AnswerBasis { cache_written, cache_derived, leader, store };
 
@@ -48,13 +53,31 @@
 };
 void load(const Load& load);
 
+// Error: what can't be read stands, and nothing is decided by it.
+void unreadable_job(const std::string& job, const std::string& error);
+void unreadable_task_record(const std::string& key, const std::string& job,
+                            const std::string& error);
+// An open job depends on this one, and the store does not know it.
+void unknown_dependency(const std::string& job);
+
 // Debug: by job.
+void queued(const wire::Job& job);
 void record_durable(const std::string& job, const RecordId& record, state::Version revision);
 void final_status(const std::string& job, wire::Stage stage, state::Version revision);
 void ready(const std::string& job, const std::string& last_dependency);
+// With a job that it depends on.
+void cancelled_with_dependency(const std::string& job);
+// An attempt of the job begins: its tasks are assigned, and started once that is durable.
+void launch(const std::string& job, std::uint64_t attempt, std::size_t tasks,
+            const std::string& first_machine);
+// Its assignment is durable, and nothing that its job depends on is open.
 void start(const AttemptId& attempt, const std::string& machine, std::uint64_t incarnation,
-           std::uint64_t epoch, bool in_heartbeat);
+           std::uint64_t epoch, StartPath path);
+void all_running(const std::string& job);
 void stop(const AttemptId& attempt, const std::string& machine, StopReason why);
+// `stopping`: it was told to stop before.
+void exited(const AttemptId& attempt, const std::string& machine, wire::ExitCause cause,
+            bool stopping);
 void absent(const AttemptId& attempt, const std::string& machine, AbsenceProof proof);
 void answer(const wire::JobStatus& status, AnswerBasis basis);
 
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -1,10 +1,10 @@
 #include "leader/jobs/dependency_tracker.h"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 #include <vector>
 
+#include "leader/audit_log.h"
+
 namespace seampass::leader {
 
 using jobs::Lookup;
@@ -14,7 +14,7 @@
     : runtime_(runtime), status_reader_(status_reader), retry_(retry), hooks_(std::move(hooks)) {}
 
 void DependencyTracker::end_term() {
-  ++term_;
+  callbacks_.renew();
   listed_ = false;
   graph_.clear();
   reading_.clear();
@@ -36,11 +36,11 @@
 
 void DependencyTracker::apply(const std::string& cause,
                               const sched::DependencyGraph::Effects& effects) const {
-  const std::uint64_t term = term_;
+  const net::CallbackScope::Period term = callbacks_.period();
   for (const std::string& job : effects.ready)
-    if (term == term_) hooks_.ready(job, cause);
+    if (term.current()) hooks_.ready(job, cause);
   for (const std::string& job : effects.cancelled)
-    if (term == term_) hooks_.cancelled(job);
+    if (term.current()) hooks_.cancelled(job);
 }
 
 void DependencyTracker::read_unknown() {
@@ -49,11 +49,9 @@
     if (reading_.insert(job).second) read(job);
 }
 
-// Neither done nor cancelled until the store says so: whatever depends on it
-// waits.
+// Neither done nor cancelled until the store says so: whatever depends on it waits.
 void DependencyTracker::read(const std::string& job) {
-  status_reader_.read_ended(job, [this, term = term_, job](const jobs::JobLookup& found) {
-    if (term != term_) return;
+  status_reader_.read_ended(job, callbacks_.wrap([this, job](const jobs::JobLookup& found) {
     if (found.lookup == Lookup::ended) {
       reading_.erase(job);
       return on_final_status(job, found.status.stage);
@@ -62,14 +60,12 @@
       reading_.erase(job);
       return hooks_.found_open(job, found.open);
     }
-    if (found.lookup == Lookup::not_found)
-      spdlog::error("{} is depended on, and not in the store", job);
-    runtime_.after(retry_, [this, term, job] {
-      if (term != term_) return;
+    if (found.lookup == Lookup::not_found) audit::unknown_dependency(job);
+    runtime_.after(retry_, callbacks_.wrap([this, job] {
       if (graph_.unknown().contains(job)) return read(job);
       reading_.erase(job);
-    });
-  });
+    }));
+  }));
 }
 
 }  // namespace seampass::leader
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -1,6 +1,10 @@
 // What the leader knows of a job and of the attempts of its tasks.
+//
+// Plain records, owned by the JobTable. Times of type net::Ms are in milliseconds of the steady
+// clock, those of type std::int64_t in milliseconds of the time of day; those in `_s` are seconds.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -28,19 +32,30 @@
   std::uint64_t number = 0;
   Machine* machine = nullptr;
   std::uint64_t incarnation = 0;
-  bool durable = false;
-  bool sent = false;  // a start may have reached the worker
-  bool seen = false;
+  bool durable = false;  // so is the record that has it: it may be started
+  bool sent = false;     // a start may have reached the worker
+  bool seen = false;     // a report of its worker had it
   bool missing = false;  // a report lacked it; not confirmed yet
   int in_flight = 0;     // starts on their way through /commands
   net::Ms start_sent_at = 0;
   wire::TaskState state = wire::TaskState::fetching;
   net::Ms running_since = 0;
-  bool stop = false;
+  bool stop = false;  // it is to stop
   double termination_grace_s = 0;
   net::Ms stop_since = 0;
 
-  AttemptId id() const;
+  [[nodiscard]] AttemptId id() const;
+};
+
+// A job's way from its acceptance to its end; it only goes forward.
+enum class Lifecycle {
+  active,
+  // Cancelled, or all of it is done: nothing of it is started any more.
+  stopping,
+  // Its final status is with the record store, and not known to be durable.
+  writing_final_status,
+  // Its final status is durable.
+  ended,
 };
 
 struct JobRecord {
@@ -66,18 +81,36 @@
   bool all_or_nothing = false;  // timed out once
   std::string reserved_zone;    // where its room is kept since then, if anywhere
   net::Ms zone_reserved_since = 0;
-  // Ends. `ending`: nothing of it is started any more; it was cancelled, or all of it is done.
-  // `concluding`: its final status is with the record store. `ended`: that status is durable.
-  bool ending = false;
-  bool concluding = false;
-  bool ended = false;
   // A durable record of its attempts can't be read: nothing of it may be started.
   bool unreadable = false;
-  wire::Stage stage = wire::Stage::queued;
+  wire::Stage stage = wire::Stage::queued;  // how it ended; queued: not known, or not yet
+  // Who waits for its end.
   std::vector<std::function<void(const rpc::JobReply&)>> waiters;
 
-  bool fails_everywhere() const { return failed_on.size() > 1; }
-  bool gang() const { return spec.kind == wire::JobKind::gang; }
+  // Its tasks failed on more than one machine, with nothing of it done in between.
+  [[nodiscard]] bool fails_everywhere() const { return failed_on.size() > 1; }
+  [[nodiscard]] bool gang() const { return spec.kind == wire::JobKind::gang; }
+
+  // Tasks of it may be started.
+  [[nodiscard]] bool active() const { return lifecycle_ == Lifecycle::active; }
+  // Its final status was handed to the record store, or found in it.
+  [[nodiscard]] bool final_status_written() const {
+    return lifecycle_ >= Lifecycle::writing_final_status;
+  }
+  [[nodiscard]] bool ended() const { return lifecycle_ == Lifecycle::ended; }
+  [[nodiscard]] Lifecycle lifecycle() const { return lifecycle_; }
+  // Goes on to this stage of its life; a job that is further already stays there.
+  void advance_to(Lifecycle next) { lifecycle_ = std::max(lifecycle_, next); }
+
+  [[nodiscard]] bool all_finished() const { return finished_count == spec.tasks; }
+  void finish_task(std::uint32_t task) {
+    if (finished[task]) return;
+    finished[task] = claimed[task] = true;
+    ++finished_count;
+  }
+
+ private:
+  Lifecycle lifecycle_ = Lifecycle::active;
 };
 
 inline AttemptId TaskAttempt::id() const { return {job->spec.id, task, number}; }
--- a/tests/audit_log_test.cc
+++ b/tests/audit_log_test.cc
@@ -61,14 +61,16 @@
   ASSERT_EQ(w.cancel_until_final(w.leader(), "wk-2", 60000).stage(), "withdrawn");
   w.time.run_for(5000);
   expect_in_order(
-      log, {"info leading, epoch ", "info recovered 0 open jobs, 0 ended ones, 0 attempts: epoch ",
-            "debug queued wk-2", "debug final status of wk-1: done, at revision ",
-            "debug ready wk-2, the last that it depends on is wk-1", "debug durable work/wk-2/",
-            "debug start wk-2/0 try 1 on m-", "debug answer wk-2: running by leader",
-            "info leading, epoch ", "info recovered 1 open jobs, 0 ended ones, 1 attempts: epoch ",
-            "debug stop wk-2/0 try 1 on m-", "debug off wk-2/0 try 1 on m-",
-            "debug final status of wk-2: withdrawn, at revision ",
-            "debug answer wk-2: withdrawn by leader"});
+      log, {"info elected epoch=", "info recovered open_jobs=0 ended_jobs=0 attempts=0 epoch=",
+            "debug queued job=wk-2 ", "debug final_status job=wk-1 stage=done revision=",
+            "debug ready job=wk-2 last_dependency=wk-1", "debug record_durable key=work/wk-2/",
+            "debug start job=wk-2 task=0 attempt=1 machine=m-",
+            "debug answer job=wk-2 stage=running basis=leader",
+            "info elected epoch=", "info recovered open_jobs=1 ended_jobs=0 attempts=1 epoch=",
+            "debug stop job=wk-2 task=0 attempt=1 machine=m-",
+            "debug absent job=wk-2 task=0 attempt=1 machine=m-",
+            "debug final_status job=wk-2 stage=withdrawn revision=",
+            "debug answer job=wk-2 stage=withdrawn basis=leader"});
   w.expect_no_violations();
 }
 
@@ -84,8 +86,8 @@
     return fate;
   });
   w.time.run_for(30000);
-  expect_in_order(log, {"info lease not renewed, epoch ", "info no longer leading, epoch "});
-  EXPECT_NE(log.find("a peer shows a higher epoch; lease granted "), std::string::npos);
+  expect_in_order(log, {"info renewal_failed epoch=", "info stepped_down epoch="});
+  EXPECT_NE(log.find("reason=peer_shows_higher_epoch since_grant_ms="), std::string::npos);
 }
 
 TEST(AuditLog, TheLoadIsSaidOnceInALease) {
@@ -93,11 +95,11 @@
   const LogCapture log;
   ASSERT_TRUE(w.wait_for_leader());
   w.time.run_for(45000);
-  const std::size_t first = log.find("info load: ");
+  const std::size_t first = log.find("info load ");
   ASSERT_NE(first, std::string::npos);
-  const std::size_t second = log.find("info load: ", first + 1);
+  const std::size_t second = log.find("info load ", first + 1);
   ASSERT_NE(second, std::string::npos);
-  EXPECT_EQ(log.find("info load: ", second + 1), std::string::npos);
+  EXPECT_EQ(log.find("info load ", second + 1), std::string::npos);
 }
 
 }  // namespace
--- a/tests/dependency_cancellation_test.cc
+++ b/tests/dependency_cancellation_test.cc
@@ -3,6 +3,7 @@
 
 #include "dependent_jobs.h"
 #include "fakes/simulated_cluster.h"
+#include "leader/jobs/open_record.h"
 
 namespace seampass::fakes {
 namespace {
@@ -136,7 +137,7 @@
   const std::string leader = cluster.leader(), follower = cluster.follower();
   ASSERT_EQ(cluster.cancel_until_final(leader, "wk-2", 30000).stage(), "withdrawn");
   cluster.time.run_for(5000);
-  const std::string record = leader::Controller::open_record(second, 1).dump();
+  const std::string record = leader::encode_open_record(second, 1).dump();
   cluster.deliver(follower, leader, rpc::JobAccepted{"wk-2", record, 1'000'000});
   for (int i = 0; i < 5; ++i) {
     EXPECT_EQ(cluster.poll(follower, "wk-2").stage(), "withdrawn");
--- a/tests/dependency_order_test.cc
+++ b/tests/dependency_order_test.cc
@@ -32,7 +32,8 @@
   ASSERT_TRUE(cluster.reaches("wk-1", "running", 30000));
   while (!cluster.state.has("ends/wk-1") && cluster.time.now() < 60000) cluster.time.run_for(10);
   const Ms ended = cluster.time.now();
-  while (cluster.running_tasks("wk-2") == 0 && cluster.time.now() - ended < 20000) cluster.time.run_for(10);
+  while (cluster.running_tasks("wk-2") == 0 && cluster.time.now() - ended < 20000)
+    cluster.time.run_for(10);
   EXPECT_LT(cluster.time.now() - ended, 1000);  // its image is there already
   cluster.expect_no_violations();
 }
--- a/tests/dependency_unreadable_test.cc
+++ b/tests/dependency_unreadable_test.cc
@@ -31,7 +31,8 @@
       Delivery delivery;
       if (from != leader) return delivery;
       delivery.lose_answer = call.body.find("\"write\":\"ends/wk-1\"") != std::string::npos;
-      if (call.path == "/keys/ends/wk-1" && cluster.state.has("ends/wk-1")) delivery.replaced_body = body;
+      if (call.path == "/keys/ends/wk-1" && cluster.state.has("ends/wk-1"))
+        delivery.replaced_body = body;
       return delivery;
     });
     cluster.cancel_without_waiting(leader, "wk-1");
--- a/tests/duplicate_delivery_test.cc
+++ b/tests/duplicate_delivery_test.cc
@@ -4,6 +4,7 @@
 
 #include "fakes/calls.h"
 #include "fakes/simulated_cluster.h"
+#include "leader/jobs/open_record.h"
 
 namespace seampass::fakes {
 namespace {
@@ -136,7 +137,7 @@
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.submit("n0", array_job("wk-1", 1, 2));
   ASSERT_TRUE(cluster.reaches("wk-1", "done", 30000));
-  const std::string record = leader::Controller::open_record(array_job("wk-1", 1, 2), 5).dump();
+  const std::string record = leader::encode_open_record(array_job("wk-1", 1, 2), 5).dump();
   cluster.kill_all();
   cluster.start_all();
   cluster.time.run_for(100);
--- /dev/null
+++ b/tests/leader_parts_test.cc
@@ -0,0 +1,180 @@
+// The leader's parts by themselves: the table of jobs, a job's lifecycle, how attempts end, and
+// what a worker's report changes.
+#include <gtest/gtest.h>
+
+#include "cloud/client.h"
+#include "fakes/sim.h"
+#include "leader/attempts/absence_verifier.h"
+#include "leader/workers/heartbeat_reconciler.h"
+
+namespace seampass::leader {
+namespace {
+
+using wire::ExitCause;
+using wire::TaskState;
+
+JobRecord job_of(const std::string& id, wire::JobKind kind, std::uint32_t tasks) {
+  JobRecord job;
+  job.spec.id = id;
+  job.spec.kind = kind;
+  job.spec.tasks = tasks;
+  job.claimed.assign(tasks, false);
+  job.finished.assign(tasks, false);
+  return job;
+}
+
+TEST(JobRecord, LifecycleOnlyGoesForward) {
+  JobRecord job = job_of("wk-1", wire::JobKind::array, 1);
+  EXPECT_TRUE(job.active());
+  job.advance_to(Lifecycle::writing_final_status);
+  job.advance_to(Lifecycle::stopping);
+  EXPECT_FALSE(job.active());
+  EXPECT_TRUE(job.final_status_written());
+  EXPECT_FALSE(job.ended());
+  job.advance_to(Lifecycle::ended);
+  EXPECT_TRUE(job.final_status_written() && job.ended());
+}
+
+TEST(JobRecord, CountsAFinishedTaskOnce) {
+  JobRecord job = job_of("wk-1", wire::JobKind::array, 2);
+  job.finish_task(1);
+  job.finish_task(1);
+  EXPECT_EQ(job.finished_count, 1u);
+  EXPECT_TRUE(job.claimed[1]);
+  EXPECT_FALSE(job.all_finished());
+}
+
+TEST(JobTable, GivesJobsInTheOrderOfTheirIdsAndAttemptsByTheirNumber) {
+  JobTable jobs;
+  jobs.add(job_of("wk-2", wire::JobKind::array, 1));
+  JobRecord& first = jobs.add(job_of("wk-1", wire::JobKind::array, 2));
+  first.attempts[1].number = 7;
+  std::vector<std::string> ids;
+  for (const auto& [id, job] : jobs) ids.push_back(id);
+  EXPECT_EQ(ids, (std::vector<std::string>{"wk-1", "wk-2"}));
+  EXPECT_EQ(jobs.find_attempt({"wk-1", 1, 7}), &first.attempts.at(1));
+  EXPECT_EQ(jobs.find_attempt({"wk-1", 1, 6}), nullptr);
+  EXPECT_EQ(jobs.find_attempt("wk-1", 0), nullptr);
+  EXPECT_EQ(jobs.find_attempt("wk-3", 0), nullptr);
+}
+
+// The parts that act on attempts; no service answers, and no worker can be reached.
+class LeaderPartsTest : public ::testing::Test {
+ protected:
+  LeaderPartsTest() {
+    settings.heartbeat_interval_s = 6;
+    settings.lease_s = 20;
+  }
+  Machine& machine(const std::string& name) { return fleet.ensure(name); }
+  TaskAttempt& start(JobRecord& job, std::uint32_t task, const std::string& on) {
+    TaskAttempt& attempt = tracker.add(job, task, ++job.last_attempt, machine(on), 1);
+    attempt.durable = attempt.sent = attempt.seen = true;
+    return attempt;
+  }
+  void exits(TaskAttempt& attempt, ExitCause cause) {
+    attempts.on_task_exited(attempt, {attempt.job->spec.id, attempt.task, attempt.number,
+                                      TaskState::exited, cause, false});
+  }
+  wire::Heartbeat report(std::uint64_t sequence, std::vector<wire::TaskStatus> tasks) {
+    wire::Heartbeat heartbeat;
+    heartbeat.machine = "m-1";
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = sequence;
+    heartbeat.tasks = std::move(tasks);
+    return heartbeat;
+  }
+
+  fakes::SimTime time;
+  fakes::SimNet net{time, 5};
+  fakes::Process process{time};
+  fakes::SimCaller http{net, "n0", process.alive()};
+  state::Client state{process, http, "state:1", 1000, 1000, 500};
+  cloud::Client cloud{process, http, "cloud:1", 10, 500};
+  cloud::MachineCatalog catalog{process, cloud, 1000, 1000};
+  config::Settings settings;
+  config::OperatorSettings operator_settings;
+  Election election{process, state, "n0", {1000, 1000, 1000},
+                    [] {},   [] {}, 0,    [](std::uint64_t) {}};
+  TermState term{election};
+  LeaderContext context{process, election, term, settings};
+  workers::Client workers{http, 500, 4};
+  JobTable jobs;
+  AttemptTracker tracker{process};
+  Fleet fleet{process, cloud, catalog, settings, operator_settings, [](Machine&) {}};
+  RecordStore records{
+      process,
+      state,
+      {1000, 1000, 8, 10},
+      {[this](const std::string& job, const RecordId& id) { return writer.render(job, id); }, [] {},
+       [](const std::string&, wire::Stage) {}, [] {}}};
+  TaskRecordWriter writer{jobs, records, {16, 16}};
+  CommandDispatcher commands{context, workers, fleet, jobs,
+                             [](Machine&, const wire::Heartbeat&) {}};
+  int concluded = 0;
+  AttemptLifecycle attempts{context,
+                            jobs,
+                            tracker,
+                            writer,
+                            fleet,
+                            commands,
+                            {[](const std::string&) {},
+                             [this](JobRecord& job) { concluded += job.all_finished(); }, [] {}}};
+  AbsenceVerifier absence{context, workers, fleet, tracker, attempts, commands};
+  HeartbeatReconciler reconciler{
+      context, {jobs, fleet, tracker, writer, attempts, absence}, {[](JobRecord&) {}, [] {}}};
+};
+
+TEST_F(LeaderPartsTest, StoppingReleasesAtOnceWhatNoWorkerWasToldOf) {
+  JobRecord& job = jobs.add(job_of("wk-1", wire::JobKind::array, 2));
+  start(job, 0, "m-1");
+  start(job, 1, "m-1").sent = false;
+  attempts.stop_all(job, 5, audit::StopReason::job_over);
+  ASSERT_EQ(job.attempts.size(), 1u);
+  EXPECT_TRUE(job.attempts.at(0).stop);
+  attempts.stop_all(job, 0, audit::StopReason::job_over);
+  EXPECT_EQ(job.attempts.at(0).termination_grace_s, 5);
+  attempts.stop_all(job, 0, audit::StopReason::job_over, StopScope::all);
+  EXPECT_EQ(job.attempts.at(0).termination_grace_s, 0);
+}
+
+TEST_F(LeaderPartsTest, AGangThatLosesATaskIsStopped) {
+  JobRecord& gang = jobs.add(job_of("wk-1", wire::JobKind::gang, 2));
+  TaskAttempt& lost = start(gang, 0, "m-1");
+  start(gang, 1, "m-2");
+  attempts.release_lost({&lost}, audit::AbsenceProof::lease_expired);
+  EXPECT_FALSE(gang.attempts.contains(0));
+  EXPECT_TRUE(gang.attempts.at(1).stop);
+  exits(gang.attempts.at(1), ExitCause::done);  // it had completed before the stop came
+  EXPECT_TRUE(gang.all_finished());
+  EXPECT_EQ(concluded, 1);
+}
+
+TEST_F(LeaderPartsTest, AFailureIsHeldAgainstTheMachineUnlessTheJobFailsElsewhere) {
+  JobRecord& job = jobs.add(job_of("wk-1", wire::JobKind::array, 1));
+  exits(start(job, 0, "m-1"), ExitCause::error);
+  EXPECT_EQ(machine("m-1").quarantined_until, process.now() + 20000);
+  EXPECT_EQ(job.retry_at, process.now() + 12000);
+  exits(start(job, 0, "m-2"), ExitCause::error);
+  EXPECT_TRUE(job.fails_everywhere());
+  EXPECT_EQ(machine("m-1").quarantined_until, 0);
+  EXPECT_EQ(job.retry_at, process.now() + 20000);  // never longer than a lease
+}
+
+TEST_F(LeaderPartsTest, AReportedTaskOfAnOpenJobIsAdoptedAndAnUnknownOneIsCounted) {
+  JobRecord& job = jobs.add(job_of("wk-1", wire::JobKind::array, 1));
+  const wire::TaskStatus task{"wk-1", 0, 3, TaskState::running, ExitCause::none, false};
+  reconciler.reconcile(machine("m-1"), report(1, {task, {"wk-9", 0, 1}}), ReportSource::heartbeat);
+  ASSERT_TRUE(job.attempts.contains(0));
+  EXPECT_EQ(job.running, 1u);
+  EXPECT_EQ(job.last_attempt, 3u);
+  EXPECT_FALSE(job.attempts.at(0).stop);
+  EXPECT_EQ(machine("m-1").unknown_tasks, 1u);
+  // One that is no newer changes nothing.
+  reconciler.reconcile(machine("m-1"), report(1, {}), ReportSource::heartbeat);
+  EXPECT_FALSE(job.attempts.at(0).missing);
+  reconciler.reconcile(machine("m-1"), report(2, {}), ReportSource::heartbeat);
+  EXPECT_TRUE(job.attempts.at(0).missing);
+}
+
+}  // namespace
+}  // namespace seampass::leader
