--- a/src/leader/fleet/fleet.cc
+++ b/src/leader/fleet/fleet.cc
@@ -234,8 +234,8 @@
   flush_removals();
 }
 
-std::vector<sched::RentalOption> Fleet::options() const {
-  std::vector<sched::RentalOption> list;
+std::vector<sched::ScaleOutOption> Fleet::options() const {
+  std::vector<sched::ScaleOutOption> list;
   const Ms now = runtime_.now();
   for (const auto& [name, t] : catalog_.types())
     for (const std::string& zone : t.zones) {
@@ -251,7 +251,7 @@
   return list;
 }
 
-void Fleet::rent(const sched::RentalOption& option, int count) {
+void Fleet::rent(const sched::ScaleOutOption& option, int count) {
   // The epoch and the counter make a name that is never used again.
   const std::string request = "r" + std::to_string(epoch_) + "-" + std::to_string(++counter_);
   const wire::Rental rental{request, option.type, option.zone, option.spot,
--- a/src/leader/fleet/fleet.h
+++ b/src/leader/fleet/fleet.h
@@ -96,8 +96,8 @@
   // Idle, overdue and silent machines.
   void tick(const std::set<std::string>& kept);
 
-  std::vector<sched::RentalOption> options() const;
-  void rent(const sched::RentalOption& option, int count);
+  std::vector<sched::ScaleOutOption> options() const;
+  void rent(const sched::ScaleOutOption& option, int count);
   // Rentals asked for and not yet answered.
   struct PendingScaleOut {
     std::string type, zone;
--- a/src/leader/scheduling/cluster_view.cc
+++ b/src/leader/scheduling/cluster_view.cc
@@ -28,14 +28,15 @@
   v.zone = m.zone;
   v.spot = m.spot;
   v.total = v.free = {type.cpus, type.gpus, type.memory_gb};
-  v.victims.clear();
+  v.preemptible_tasks.clear();
   for (const auto& [key, c] : m.attempts) {
     const wire::Job& spec = c->job->spec;
     v.free -= request_of(spec);
     // Only what saves, runs, and is not being stopped already.
     if (!c->job->gang() && spec.checkpoint_s > 0 && c->state == TaskState::running && !c->stop)
-      v.victims.push_back({spec.id, c->task, spec.priority, request_of(spec), spec.image, spec.spot,
-                           !spec.zone && !spec.one_zone && !spec.spread, 0, spec.save_s});
+      v.preemptible_tasks.push_back({spec.id, c->task, spec.priority, request_of(spec), spec.image,
+                                     spec.spot, !spec.zone && !spec.one_zone && !spec.spread, 0,
+                                     spec.save_s});
   }
   v.images = m.images;
   v.tasks = m.attempts.size();
@@ -63,9 +64,9 @@
     sched::MachineView& v = snapshot_.machines[m.slot];
     v.price = m.spot ? type->spot_price : type->price;
     // A third of the lease without a word: whatever is started there may never be.
-    v.open = m.registered && !m.deleting && !m.draining && !m.preemption_at &&
-             m.unknown_tasks == 0 && now >= m.quarantined_until &&
-             now - m.last_heartbeat_at < fresh;
+    v.schedulable = m.registered && !m.deleting && !m.draining && !m.preemption_at &&
+                    m.unknown_tasks == 0 && now >= m.quarantined_until &&
+                    now - m.last_heartbeat_at < fresh;
     // (One that reports shows within a report that it hears us, or it is no machine on its way.)
     v.booting = !m.registered && !m.deleting && m.attempts.empty() &&
                 (m.first_heartbeat_at < 0
@@ -158,7 +159,7 @@
     const Machine* machine = fleet_.find(name);
     if (!machine || machine->slot == Machine::kNoSlot) continue;
     sched::MachineView& room = snapshot_.machines[machine->slot];
-    if (!room.open) continue;
+    if (!room.schedulable) continue;
     room.free -= view.request;
     snapshot_.teams[view.team].cpus += view.request.cpus;
     snapshot_.teams[view.team].gpus += view.request.gpus;
@@ -232,7 +233,7 @@
       // Machines that could take a task, were they empty.
       std::map<std::string, std::uint32_t> hosts;
       for (const sched::MachineView& m : snapshot_.machines)
-        if ((m.open || m.booting) && !taken.contains(m.zone) &&
+        if ((m.schedulable || m.booting) && !taken.contains(m.zone) &&
             sched::allowed(v, m.type, m.zone, m.spot) && sched::capacity(v.request, m.total) > 0)
           ++hosts[m.zone];
       if (late) hosts.erase(job.reserved_zone);
--- a/src/leader/scheduling/planning.cc
+++ b/src/leader/scheduling/planning.cc
@@ -72,20 +72,20 @@
   // Room that is held is taken in the snapshot only until the pass is over.
   for (const sched::JobView& v : snapshot_.jobs)
     for (const sched::Placement& x : v.reservations) touch(x.machine);
-  const sched::Decisions d = sched::pass(snapshot_);
+  const sched::Decisions d = sched::run_pass(snapshot_);
   const Ms now = runtime_.now();
   for (JobRecord* job : jobs) {
     if (job->reservations.empty()) job->reservations_since = now;
     job->reservations.clear();
   }
-  for (const sched::Batch& b : d.reservations) {
+  for (const sched::JobPlacements& b : d.reservations) {
     for (const sched::Placement& x : b.tasks) {
       jobs[b.job]->reservations.emplace_back(x.task, snapshot_.machines[x.machine].name);
       touch(x.machine);
     }
   }
   preempt(d);
-  for (const sched::Batch& b : d.starts) start(*jobs[b.job], b.tasks);
+  for (const sched::JobPlacements& b : d.starts) start(*jobs[b.job], b.tasks);
   // Renting is paced: what is asked of the cloud takes far longer than the pause.
   if (now - last_rental_ >= net::ms(settings_.heartbeat_interval_s / 3)) {
     last_rental_ = now;
@@ -195,7 +195,7 @@
   std::vector<TaskAttempt*> stops;
   for (const sched::Preemption& e : d.preemptions) {
     double termination_grace_s = 0;
-    for (const sched::Victim& v : e.tasks) {
+    for (const sched::PreemptibleTask& v : e.tasks) {
       TaskAttempt* c = find_attempt(v.job, v.task);
       if (!c) continue;
       stop_to_save(*c, audit::StopReason::room_needed);
@@ -224,15 +224,16 @@
       // The owner's estimate, often wrong: what has outlived it may take some more.
       const double run_s =
           c->running_since == 0 ? 0 : static_cast<double>(now - c->running_since) / 1000;
-      releases.emplace_back(std::max(spec.estimate_s - run_s, spec.estimate_s / 4),
-                            request_of(spec));
+      releases.push_back(
+          {std::max(spec.estimate_s - run_s, spec.estimate_s / 4), request_of(spec)});
     }
   }
   const auto options = fleet_.options();
   const sched::ScalingPlan plan = sched::plan_scaling(snapshot_, options, headroom());
   headroom_machines_.clear();
-  for (const std::size_t i : plan.keep) headroom_machines_.insert(snapshot_.machines[i].name);
-  for (const sched::ScaleOutRequest& w : plan.rentals) fleet_.rent(options[w.option], w.count);
+  for (const std::size_t i : plan.headroom_machines)
+    headroom_machines_.insert(snapshot_.machines[i].name);
+  for (const sched::ScaleOutRequest& w : plan.scale_out) fleet_.rent(options[w.option], w.count);
   // (Where jobs wait now and then, the next would wait for the machine that was just returned.)
   if (std::any_of(snapshot_.jobs.begin(), snapshot_.jobs.end(),
                   [](const sched::JobView& j) { return !j.pending.empty(); }))
@@ -245,10 +246,10 @@
 void Controller::consolidate() {
   const Ms now = runtime_.now();
   for (sched::MachineView& m : snapshot_.machines) {
-    for (sched::Victim& v : m.victims) {
+    for (sched::PreemptibleTask& v : m.preemptible_tasks) {
       const TaskAttempt* c = find_attempt(v.job, v.task);
       if (!c) continue;
-      v.left_s = c->job->spec.estimate_s - static_cast<double>(now - c->running_since) / 1000;
+      v.remaining_s = c->job->spec.estimate_s - static_cast<double>(now - c->running_since) / 1000;
     }
   }
   const std::size_t most = 1 + fleet_.machines().size() / kConsolidationShare;
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -41,7 +41,7 @@
     std::map<std::tuple<std::string_view, std::string_view, bool>, std::size_t> index;
     for (std::size_t i = 0; i < snapshot_.machines.size(); ++i) {
       const MachineView& m = snapshot_.machines[i];
-      if (!m.open) continue;
+      if (!m.schedulable) continue;
       const auto [at, fresh] = index.try_emplace({m.type, m.zone, m.spot}, pools_.size());
       if (fresh) pools_.push_back({&m, {}, {}});
       pools_[at->second].machines.push_back(i);
@@ -88,7 +88,7 @@
       bool room = false;
       for (const std::size_t i : pool.machines) {
         const MachineView& m = snapshot_.machines[i];
-        ++out_.looked_at;
+        ++out_.machines_examined;
         if (!job.request.fits_in(m.free)) continue;
         room = true;
         if (!m.nominated_job.empty() && m.nominated_job != job.id) continue;
@@ -240,7 +240,7 @@
     for (const Placement& x : job.reservations) ++placed[snapshot_.machines[x.machine].zone];
     struct Option {
       std::size_t cost = 0, machine = 0, fits = 0;
-      std::vector<Victim> tasks;
+      std::vector<PreemptibleTask> tasks;
     };
     std::vector<Option> options;
     std::map<std::string, std::size_t> room;  // by zone: tasks that could be placed there
@@ -250,13 +250,13 @@
       if (!zone_allows(job, placed, like.zone)) continue;
       for (const std::size_t i : pool.machines) {
         const MachineView& m = snapshot_.machines[i];
-        ++out_.looked_at;
+        ++out_.machines_examined;
         if (m.nominated_job == job.id) {
           const std::size_t n = capacity(job.request, m.total);
           lacks -= std::min(lacks, n);
           if (lacks == 0) return;
         }
-        if (!m.nominated_job.empty() || m.victims.empty()) continue;
+        if (!m.nominated_job.empty() || m.preemptible_tasks.empty()) continue;
         if (std::any_of(job.anti_affinity.begin(), job.anti_affinity.end(),
                         [i](const auto& a) { return a.second == i; }))
           continue;
@@ -264,7 +264,7 @@
         o.machine = i;
         Resources left = m.free;
         const std::size_t most = job.kind == wire::JobKind::gang ? 1 : lacks;
-        for (const Victim& v : m.victims) {
+        for (const PreemptibleTask& v : m.preemptible_tasks) {
           if (job.request.fits_in(left)) {
             left -= job.request;
             if (++o.fits == most) break;
@@ -362,6 +362,6 @@
   return static_cast<std::uint32_t>(std::floor(n));
 }
 
-Decisions pass(ClusterSnapshot& snapshot) { return Pass(snapshot).run(); }
+Decisions run_pass(ClusterSnapshot& snapshot) { return Pass(snapshot).run(); }
 
 }  // namespace seampass::sched
--- a/src/sched/rentals.cc
+++ b/src/sched/rentals.cc
@@ -11,7 +11,7 @@
 
 class Planner {
  public:
-  Planner(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options)
+  Planner(const ClusterSnapshot& snapshot, const std::vector<ScaleOutOption>& options)
       : snapshot_(snapshot), teams_(snapshot.teams), options_(options), counts_(options.size(), 0) {
     for (std::size_t i = 0; i < snapshot.machines.size(); ++i) add(snapshot.machines[i], i);
     for (const MachineView& m : snapshot.pending_scale_out) add(m, snapshot.machines.size());
@@ -29,7 +29,7 @@
       settle(s.job, true, budget, s.max_price);
     }
     for (std::size_t i = 0; i < options_.size(); ++i)
-      if (counts_[i] > 0) plan_.rentals.push_back({i, counts_[i]});
+      if (counts_[i] > 0) plan_.scale_out.push_back({i, counts_[i]});
     return std::move(plan_);
   }
 
@@ -43,9 +43,9 @@
 
   void add(const MachineView& m, std::size_t index) {
     if (!m.nominated_job.empty()) claimed_[m.nominated_job].push_back(&m);
-    if (m.open && !m.releases.empty()) releasing_.push_back(rooms_.size());
+    if (m.schedulable && !m.releases.empty()) releasing_.push_back(rooms_.size());
     if (m.booting) booting_.push_back(rooms_.size());
-    if (m.open || m.booting) rooms_.push_back({&m, index, m.free});
+    if (m.schedulable || m.booting) rooms_.push_back({&m, index, m.free});
   }
 
   static Resources coming(const JobView& job, const Room& r) {
@@ -58,7 +58,7 @@
   // A gang of one zone goes where it lacks least; what it lacks must be for rent there.
   std::string best_zone(const JobView& job, std::uint32_t left) const {
     std::map<std::string, std::uint32_t> there;
-    for (const RentalOption& o : options_) there.try_emplace(o.zone, 0);
+    for (const ScaleOutOption& o : options_) there.try_emplace(o.zone, 0);
     for (const std::size_t i : releasing_) {
       const MachineView& m = *rooms_[i].m;
       if (allowed(job, m.type, m.zone, m.spot))
@@ -74,7 +74,7 @@
     for (const auto& [zone, n] : there) {
       const double lacks = left - std::min(left, n);
       double price = std::numeric_limits<double>::infinity();
-      for (const RentalOption& o : options_)
+      for (const ScaleOutOption& o : options_)
         if (o.zone == zone && allowed(job, o.type, o.zone, o.spot) &&
             capacity(job.request, o.total) > 0)
           price = std::min(price, o.price);
@@ -152,11 +152,11 @@
       const MachineView& m = *r.m;
       if (m.price > max_price || !allowed(job, m.type, m.zone, m.spot)) continue;
       while (left > 0 && job.request.fits_in(r.free) && zone_ok(m.zone)) {
-        if (spare && m.open && !plan_.keep.contains(r.index)) {
+        if (spare && m.schedulable && !plan_.headroom_machines.contains(r.index)) {
           const bool idle = r.free.cpus >= m.total.cpus && r.free.gpus >= m.total.gpus;
           if (idle && m.price > budget) break;
           if (idle) budget -= m.price;
-          plan_.keep.insert(r.index);
+          plan_.headroom_machines.insert(r.index);
         }
         take(r);
       }
@@ -165,7 +165,7 @@
       std::size_t best = options_.size();
       double best_cost = std::numeric_limits<double>::infinity();
       for (std::size_t i = 0; i < options_.size(); ++i) {
-        const RentalOption& o = options_[i];
+        const ScaleOutOption& o = options_[i];
         const std::uint32_t fit = std::min(capacity(job.request, o.total), left);
         if (fit == 0 || !allowed(job, o.type, o.zone, o.spot) || !zone_ok(o.zone)) continue;
         if (o.price > budget || o.price > max_price) continue;
@@ -176,7 +176,7 @@
         }
       }
       if (best == options_.size()) break;
-      const RentalOption& o = options_[best];
+      const ScaleOutOption& o = options_[best];
       ++counts_[best];
       budget -= o.price;
       MachineView& m = rented_.emplace_back();
@@ -194,7 +194,7 @@
 
   const ClusterSnapshot& snapshot_;
   std::map<std::string, TeamView> teams_;
-  const std::vector<RentalOption>& options_;
+  const std::vector<ScaleOutOption>& options_;
   std::vector<int> counts_;
   std::vector<Room> rooms_;
   std::vector<std::size_t> releasing_, booting_;  // indices into rooms_
@@ -205,7 +205,8 @@
 
 }  // namespace
 
-ScalingPlan plan_scaling(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options,
+ScalingPlan plan_scaling(const ClusterSnapshot& snapshot,
+                         const std::vector<ScaleOutOption>& options,
                          const std::vector<Headroom>& headroom) {
   return Planner(snapshot, options).run(headroom);
 }
@@ -219,7 +220,7 @@
   std::vector<std::size_t> order;
   for (std::size_t i = 0; i < snapshot.machines.size(); ++i) {
     const MachineView& m = snapshot.machines[i];
-    if (!m.open || !m.nominated_job.empty() || m.tasks == 0) continue;
+    if (!m.schedulable || !m.nominated_job.empty() || m.tasks == 0) continue;
     order.push_back(i);
   }
   std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
@@ -234,11 +235,11 @@
   for (std::size_t at = 0; at < order.size() && result.size() < most; ++at) {
     const std::size_t i = order[at];
     const MachineView& m = snapshot.machines[i];
-    if (m.victims.size() != m.tasks || free.contains(i)) continue;
+    if (m.preemptible_tasks.size() != m.tasks || free.contains(i)) continue;
     std::map<std::size_t, Resources> taken;
     bool all = true;
-    for (const Victim& v : m.victims) {
-      all = v.anywhere && v.left_s > worth * (v.save_s + restart_s);
+    for (const PreemptibleTask& v : m.preemptible_tasks) {
+      all = v.any_zone && v.remaining_s > worth * (v.save_s + restart_s);
       if (!all) break;
       bool placed = false;
       // The fullest last in the order: looked at first.
--- a/src/sched/snapshot.h
+++ b/src/sched/snapshot.h
@@ -48,30 +48,36 @@
 std::uint32_t capacity(const Resources& need, const Resources& total);
 
 // A running task that may be stopped for work of a higher priority: it saves its progress.
-struct Victim {
+struct PreemptibleTask {
   std::string job;
   std::uint32_t task = 0;
   wire::Priority priority = wire::Priority::normal;
   Resources request;
   std::string image{};
-  bool spot = false;      // may use spot machines
-  bool anywhere = false;  // no rule ties it to a zone
-  double left_s = 0;      // by its owner's estimate
+  bool spot = false;       // may use spot machines
+  bool any_zone = false;   // no rule ties it to a zone
+  double remaining_s = 0;  // by its owner's estimate
   double save_s = 0;
 };
 
+// Room that comes free when a task ends, by its owner's estimate.
+struct ExpectedRelease {
+  double in_s = 0;
+  Resources resources;
+};
+
 struct MachineView {
   std::string name, type, zone;
   std::string nominated_job;  // room that is being cleared for this job, and for no other
-  std::vector<Victim> victims;
+  std::vector<PreemptibleTask> preemptible_tasks;
   bool spot = false;
-  bool open = false;     // tasks may be started on it now
-  bool booting = false;  // will be open later
+  bool schedulable = false;  // tasks may be started on it now
+  bool booting = false;      // will be open later
   Resources total, free;
   double price = 0;  // an hour
   std::set<std::string> images;
-  std::size_t tasks = 0;                               // on it, in any state
-  std::vector<std::pair<double, Resources>> releases;  // in how many seconds which room comes free
+  std::size_t tasks = 0;  // on it, in any state
+  std::vector<ExpectedRelease> releases;
 };
 
 struct Placement {
@@ -130,21 +136,22 @@
   MachineChoice choice = MachineChoice::scored;
 };
 
-struct Batch {
+struct JobPlacements {
   std::size_t job = 0;  // index into ClusterSnapshot::jobs
   std::vector<Placement> tasks;
 };
 
 struct Preemption {
   std::size_t machine = 0, job = 0;  // for which job
-  std::vector<Victim> tasks;
+  std::vector<PreemptibleTask> tasks;
 };
 
 struct Decisions {
   std::vector<Preemption> preemptions;
-  std::vector<Batch> starts;
-  std::vector<Batch> reservations;  // each gang's whole new set; a gang not named holds nothing
-  std::size_t looked_at = 0;        // machines compared with a job: the work that this pass was
+  std::vector<JobPlacements> starts;
+  std::vector<JobPlacements>
+      reservations;                   // each gang's whole new set; a gang not named holds nothing
+  std::size_t machines_examined = 0;  // machines compared with a job: the work that this pass was
 };
 
 // Queue sort: priority, turn (the exception of docs/design.md), creation time, id.
@@ -155,9 +162,9 @@
 
 // One scheduling pass. The snapshot is left as it is after the decisions: room and team use taken,
 // placed tasks no longer pending.
-Decisions pass(ClusterSnapshot& snapshot);
+Decisions run_pass(ClusterSnapshot& snapshot);
 
-struct RentalOption {
+struct ScaleOutOption {
   std::string type, zone;
   bool spot = false;
   double price = 0;
@@ -177,13 +184,14 @@
 };
 
 struct ScalingPlan {
-  std::vector<ScaleOutRequest> rentals;
-  std::set<std::size_t> keep;  // machines whose free room is wanted as a spare
+  std::vector<ScaleOutRequest> scale_out;
+  std::set<std::size_t> headroom_machines;  // machines whose free room is wanted as a spare
 };
 
 // Which machines to rent for what a pass left pending, after room that is booting is counted, and
 // which to rent or keep for what is expected.
-ScalingPlan plan_scaling(const ClusterSnapshot& snapshot, const std::vector<RentalOption>& options,
+ScalingPlan plan_scaling(const ClusterSnapshot& snapshot,
+                         const std::vector<ScaleOutOption>& options,
                          const std::vector<Headroom>& headroom);
 
 // Machines whose few tasks have room on fuller machines of their type, with their image: once
--- a/tests/model/plain_scheduler.h
+++ b/tests/model/plain_scheduler.h
@@ -61,7 +61,7 @@
     } else if (job.one_zone) {
       zones.clear();
       for (const auto& m : p_.machines)
-        if (m.open && std::find(zones.begin(), zones.end(), m.zone) == zones.end())
+        if (m.schedulable && std::find(zones.begin(), zones.end(), m.zone) == zones.end())
           zones.push_back(m.zone);
       std::sort(zones.begin(), zones.end());
     }
@@ -122,7 +122,7 @@
   bool fits(std::size_t j, std::size_t i, const std::string& zone) const {
     const auto& job = p_.jobs[j];
     const auto& m = p_.machines[i];
-    if (!m.open || (!zone.empty() && m.zone != zone)) return false;
+    if (!m.schedulable || (!zone.empty() && m.zone != zone)) return false;
     if (m.spot && !job.spot) return false;
     if (job.zone && *job.zone != m.zone) return false;
     if (job.types && *job.types &&
--- a/tests/sched_test.cc
+++ b/tests/sched_test.cc
@@ -41,7 +41,7 @@
     m.type = pick(2) ? "big" : "small";
     m.zone = std::string(1, static_cast<char>('a' + pick(3)));
     m.spot = pick(3) == 0;
-    m.open = pick(6) != 0;
+    m.schedulable = pick(6) != 0;
     m.total = {m.type == "big" ? 16.0 : 4.0, m.type == "big" ? 4.0 : 0.0, 64};
     m.free = m.total;
     m.free.cpus -= pick(4);
@@ -83,9 +83,9 @@
 
 std::vector<model::Placed> placements(const Decisions& d) {
   std::vector<model::Placed> list;
-  for (const Batch& b : d.starts)
+  for (const JobPlacements& b : d.starts)
     for (const Placement& x : b.tasks) list.push_back({b.job, x.task, x.machine, false});
-  for (const Batch& b : d.reservations)
+  for (const JobPlacements& b : d.reservations)
     for (const Placement& x : b.tasks) list.push_back({b.job, x.task, x.machine, true});
   std::sort(list.begin(), list.end());
   return list;
@@ -97,7 +97,7 @@
   for (int round = 0; round < 3000; ++round) {
     ClusterSnapshot p = random_picture(random, MachineChoice::first_fit);
     const ClusterSnapshot before = p;
-    const Decisions d = pass(p);
+    const Decisions d = run_pass(p);
     const std::vector<model::Placed> real = placements(d);
     ASSERT_EQ(real, model::PlainScheduler(before).run()) << "round " << round;
     for (const auto& x : real) (x.held ? held : placed) += 1;
@@ -119,7 +119,7 @@
     m.name = "m" + std::to_string(i);
     m.type = pick(2) ? "big" : "small";
     m.zone = std::string(1, static_cast<char>('a' + pick(3)));
-    m.open = true;
+    m.schedulable = true;
     m.total = {16, 4, 64};
     // Nearly all are full, as machines of a busy cluster are; some room is left over on each.
     m.free = pick(40) == 0 ? m.total : Resources{pick(3) * 1.0, 0, 8};
@@ -136,11 +136,11 @@
     p.jobs.push_back(j);
   }
   const ClusterSnapshot before = p;
-  const Decisions d = pass(p);
+  const Decisions d = run_pass(p);
   const std::vector<model::Placed> real = placements(d);
   EXPECT_EQ(real, model::PlainScheduler(before).run());
   EXPECT_GT(real.size(), 30u);
-  EXPECT_LT(d.looked_at,
+  EXPECT_LT(d.machines_examined,
             p.machines.size() * 16);  // a look at each machine for each task is 300 times
   EXPECT_GT(tasks, 300u);
 }
@@ -151,18 +151,18 @@
   for (int round = 0; round < 3000; ++round) {
     ClusterSnapshot p = random_picture(random, MachineChoice::scored);
     const ClusterSnapshot before = p;
-    const Decisions d = pass(p);
+    const Decisions d = run_pass(p);
     std::vector<Resources> free;
     for (const auto& m : before.machines) free.push_back(m.free);
     auto teams = before.teams;
-    const auto count = [&](const Batch& b, bool start) {
+    const auto count = [&](const JobPlacements& b, bool start) {
       const JobView& job = before.jobs[b.job];
       auto zones = job.placed;
       ASSERT_FALSE(job.blocked);
       for (const Placement& x : b.tasks) {
         const MachineView& m = before.machines[x.machine];
         ASSERT_EQ(job.anti_affinity.count({x.task, x.machine}), 0u);
-        ASSERT_TRUE(m.open && allowed(job, m.type, m.zone, m.spot));
+        ASSERT_TRUE(m.schedulable && allowed(job, m.type, m.zone, m.spot));
         ASSERT_TRUE(job.request.fits_in(free[x.machine]));
         free[x.machine] -= job.request;
         TeamView& t = teams[job.team];
@@ -183,8 +183,8 @@
         ASSERT_TRUE(start || !job.all_or_nothing);
       }
     };
-    for (const Batch& b : d.starts) count(b, true);
-    for (const Batch& b : d.reservations) count(b, false);
+    for (const JobPlacements& b : d.starts) count(b, true);
+    for (const JobPlacements& b : d.reservations) count(b, false);
   }
 }
 
@@ -201,12 +201,12 @@
 }
 
 TEST(Sched, RentsTheCheapestThatFitsAndCountsWhatIsBooting) {
-  const std::vector<RentalOption> options = {{"big", "a", false, 4, {16, 4, 64}},
-                                             {"big", "b", true, 1.5, {16, 4, 64}},
-                                             {"small", "a", false, 1, {4, 0, 16}}};
+  const std::vector<ScaleOutOption> options = {{"big", "a", false, 4, {16, 4, 64}},
+                                               {"big", "b", true, 1.5, {16, 4, 64}},
+                                               {"small", "a", false, 1, {4, 0, 16}}};
   ClusterSnapshot p;
   p.jobs.push_back(waiting("wk-1", wire::JobKind::array, 6, {4, 1, 8}));
-  auto wishes = plan_scaling(p, options, {}).rentals;
+  auto wishes = plan_scaling(p, options, {}).scale_out;
   ASSERT_EQ(wishes.size(), 1u);
   EXPECT_EQ(wishes[0].option, 1u);
   EXPECT_EQ(wishes[0].count, 2);
@@ -216,23 +216,23 @@
   m.booting = true;
   m.total = m.free = {16, 4, 64};
   p.machines.push_back(m);
-  wishes = plan_scaling(p, options, {}).rentals;
+  wishes = plan_scaling(p, options, {}).scale_out;
   ASSERT_EQ(wishes.size(), 1u);
   EXPECT_EQ(wishes[0].count, 1);
   p.jobs[0].spot = false;
-  EXPECT_EQ(plan_scaling(p, options, {}).rentals[0].option, 0u);
+  EXPECT_EQ(plan_scaling(p, options, {}).scale_out[0].option, 0u);
   p.teams["red"].gpus_max = 4;  // no more than the limit lets run
-  EXPECT_TRUE(plan_scaling(p, options, {}).rentals.empty());
+  EXPECT_TRUE(plan_scaling(p, options, {}).scale_out.empty());
 }
 
 TEST(Sched, RentsAGangsMachinesInOneZone) {
-  const std::vector<RentalOption> options = {{"small", "a", false, 1, {4, 0, 16}},
-                                             {"small", "b", true, 0.5, {4, 0, 16}}};
+  const std::vector<ScaleOutOption> options = {{"small", "a", false, 1, {4, 0, 16}},
+                                               {"small", "b", true, 0.5, {4, 0, 16}}};
   ClusterSnapshot p;
   p.jobs.push_back(waiting("wk-1", wire::JobKind::gang, 3, {4, 0, 8}));
   p.jobs[0].one_zone = true;
   p.jobs[0].spot = false;
-  const auto wishes = plan_scaling(p, options, {}).rentals;
+  const auto wishes = plan_scaling(p, options, {}).scale_out;
   ASSERT_EQ(wishes.size(), 1u);
   EXPECT_EQ(wishes[0].option, 0u);
   EXPECT_EQ(wishes[0].count, 3);
@@ -243,33 +243,33 @@
   MachineView m;
   m.type = "big";
   m.zone = "a";
-  m.open = true;
+  m.schedulable = true;
   m.total = {8, 4, 64};
   m.free = {0, 2, 32};
-  m.victims = {{"wk-8", 0, wire::Priority::normal, {4, 1, 16}},
-               {"wk-8", 1, wire::Priority::normal, {4, 1, 16}}};
+  m.preemptible_tasks = {{"wk-8", 0, wire::Priority::normal, {4, 1, 16}},
+                         {"wk-8", 1, wire::Priority::normal, {4, 1, 16}}};
   p.machines = {m, m};
-  p.machines[1].victims.pop_back();
+  p.machines[1].preemptible_tasks.pop_back();
   p.machines[1].free.cpus = 4;
   JobView job = waiting("wk-1", wire::JobKind::gang, 1, {8, 0, 16});
   job.urgent = true;
   p.jobs = {job};
   ClusterSnapshot same = p;
-  EXPECT_TRUE(pass(same).preemptions.empty());  // equal priority stops nothing
+  EXPECT_TRUE(run_pass(same).preemptions.empty());  // equal priority stops nothing
   p.jobs[0].priority = wire::Priority::high;
   same = p;
-  const Decisions d = pass(same);
+  const Decisions d = run_pass(same);
   ASSERT_EQ(d.preemptions.size(), 1u);
   EXPECT_EQ(d.preemptions[0].machine, 1u);  // one task there, two on the other
   EXPECT_EQ(d.preemptions[0].tasks.size(), 1u);
   // Once cleared, the room is for that job alone, and it clears no more.
   p.machines[1].nominated_job = "wk-1";
   p.machines[1].free = {8, 4, 64};
-  p.machines[1].victims.clear();
+  p.machines[1].preemptible_tasks.clear();
   JobView other = waiting("wk-0", wire::JobKind::array, 1, {4, 0, 8});
   other.priority = wire::Priority::critical;
   p.jobs = {other, p.jobs[0]};
-  const Decisions after = pass(p);
+  const Decisions after = run_pass(p);
   ASSERT_EQ(after.starts.size(), 1u);
   EXPECT_EQ(after.starts[0].job, 1u);
   EXPECT_TRUE(after.preemptions.empty());
@@ -280,14 +280,15 @@
   MachineView m;
   m.type = "big";
   m.zone = "a";
-  m.open = true;
+  m.schedulable = true;
   m.total = {8, 4, 64};
   m.images = {"i0"};
-  const Victim task{"wk-8", 0, wire::Priority::normal, {2, 1, 16}, "i0", false, true, 100, 3};
+  const PreemptibleTask task{"wk-8", 0, wire::Priority::normal, {2, 1, 16}, "i0", false, true,
+                             100,    3};
   for (std::size_t tasks : {1u, 3u, 2u}) {
     m.free = m.total;
     m.tasks = tasks;
-    m.victims.assign(tasks, task);
+    m.preemptible_tasks.assign(tasks, task);
     for (std::size_t i = 0; i < tasks; ++i) m.free -= task.request;
     p.machines.push_back(m);
   }
@@ -295,7 +296,7 @@
   EXPECT_EQ(consolidation_candidates(p, 1, 3, 9),
             Indices{0});  // the one task goes to the machine of three
   ClusterSnapshot other = p;
-  other.machines[0].victims[0].left_s = 11;  // hardly longer than its stop and start
+  other.machines[0].preemptible_tasks[0].remaining_s = 11;  // hardly longer than its stop and start
   EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
   other = p;
   other.machines[1].images.clear();  // the machine of two has the image, and room
@@ -331,27 +332,27 @@
 }
 
 TEST(Sched, KeepsHeadroomWithinItsBudget) {
-  const std::vector<RentalOption> options = {{"small", "a", false, 1, {4, 0, 16}}};
+  const std::vector<ScaleOutOption> options = {{"small", "a", false, 1, {4, 0, 16}}};
   ClusterSnapshot p;
   MachineView m;
   m.type = "small";
   m.zone = "a";
-  m.open = true;
+  m.schedulable = true;
   m.price = 1;
   m.total = m.free = {4, 0, 16};
   p.machines = {m, m};
   Headroom spare{waiting("", wire::JobKind::array, 4, {4, 0, 8}), 3, 2};
   ScalingPlan plan = plan_scaling(p, options, {spare});
-  EXPECT_EQ(plan.keep.size(), 2u);  // two are there, and the budget pays for one more
-  ASSERT_EQ(plan.rentals.size(), 1u);
-  EXPECT_EQ(plan.rentals[0].count, 1);
+  EXPECT_EQ(plan.headroom_machines.size(), 2u);  // two are there, and the budget pays for one more
+  ASSERT_EQ(plan.scale_out.size(), 1u);
+  EXPECT_EQ(plan.scale_out[0].count, 1);
   spare.max_price = 0.5;
-  EXPECT_TRUE(plan_scaling(p, options, {spare}).keep.empty());
+  EXPECT_TRUE(plan_scaling(p, options, {spare}).headroom_machines.empty());
   spare.max_price = 2;
   spare.budget = 1;
   plan = plan_scaling(p, options, {spare});
-  EXPECT_EQ(plan.keep.size(), 1u);
-  EXPECT_TRUE(plan.rentals.empty());
+  EXPECT_EQ(plan.headroom_machines.size(), 1u);
+  EXPECT_TRUE(plan.scale_out.empty());
 }
 
 }  // namespace
