--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -15,10 +15,11 @@
 constexpr double kStoreChanges = 0.8;
 
 leader::ElectionTimes times_of(const config::Settings& s) {
-  // A sixth of a worker's lease: a take-over leaves workers most of theirs. The grace leaves a
-  // whole report interval as margin.
-  return {ms(s.lease_s / 6), ms(s.cancel_s - s.lease_s - s.heartbeat_interval_s / 3),
-          ms(2 * s.lease_s)};
+  // A sixth of a worker's lease: a failover leaves workers most of theirs. The extension ends a
+  // third of a heartbeat interval before its bound.
+  return {.ttl = ms(s.lease_s / 6),
+          .lease_extension = ms(s.cancel_s - s.lease_s - s.heartbeat_interval_s / 3),
+          .between_resignations = ms(2 * s.lease_s)};
 }
 
 leader::RecordSpans spans_of(const config::Settings& s) {
@@ -39,10 +40,10 @@
       catalog_(runtime, cloud_, ms(settings_.lease_s * 2), ms(settings_.heartbeat_interval_s / 2)),
       // A few hundred bytes a final status: an eighth of the memory at most.
       status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
-      election_(
-          runtime, state_, settings_.node, times_of(settings_),
-          [this] { controller_.start_term(); }, [this] { controller_.end_term(); },
-          settings_.peers.size(), [this, &peers](std::uint64_t round) { announce(peers, round); }),
+      election_(runtime, state_, settings_.node, settings_.peers.size(), times_of(settings_),
+                {.on_elected = [this] { controller_.start_term(); },
+                 .on_step_down = [this] { controller_.end_term(); },
+                 .announce = [this, &peers](std::uint64_t round) { announce(peers, round); }}),
       cluster_(runtime, state_, settings_.peers, spans_of(settings_),
                ms(settings_.heartbeat_interval_s / 10)),
       controller_(runtime, state_, cloud_, catalog_,
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -194,7 +194,7 @@
       peers_.send(from, rpc::EpochConfirmation{leads->round, election_.highest_known_epoch(),
                                                election_.up()});
   } else if (const auto* word = std::get_if<rpc::EpochConfirmation>(&message)) {
-    election_.on_confirmation(from, word->round, word->epoch, word->up_ms);
+    election_.on_confirmation(from, *word);
   } else if (const auto* answer = std::get_if<rpc::JobReply>(&message)) {
     const auto it = asks_.find(answer->number);
     if (it == asks_.end() || it->second.node != from) return;
--- a/src/leader/election/election.cc
+++ b/src/leader/election/election.cc
@@ -5,22 +5,27 @@
 #include <algorithm>
 #include <utility>
 
+#include "leader/election/clock_drift.h"
+
 namespace seampass::leader {
 
 using state::Outcome;
 
 namespace {
-// So often a lease is renewed in its time to live.
-constexpr net::Ms kRenewals = 4;
-// While it is refused or not answered: twice as often.
-constexpr net::Ms kRetries = 8;
+
+// How often a lease is renewed in its time to live.
+constexpr net::Ms kRenewalsPerTtl = 4;
+// How often anything that was refused or not answered is tried again in that time.
+constexpr net::Ms kRetriesPerTtl = 8;
 // A renewal is waited for during this part of the time to live: longer than other requests, since
 // an answer is of use for as long as the lease that it grants.
-constexpr net::Ms kRenewalTimeout = 2;
+constexpr net::Ms kRenewalTimeoutDivisor = 2;
+// For how many times to live a watch of the leader's record waits for a change.
+constexpr net::Ms kWatchTtls = 4;
 
-// Who leads by this record; empty if it can't be read: nobody is known to lead, and nobody stands
-// until the record's lease is over.
-std::string node_named(const wire::Json& record) {
+// The node that this record names as leader; empty if the record can't be read: then no node is
+// known to lead, and none campaigns until the record's lease has expired.
+std::string node_named_in(const wire::Json& record) {
   try {
     return wire::text_field(record, "node");
   } catch (const wire::Malformed& error) {
@@ -28,187 +33,185 @@
     return {};
   }
 }
+
 }  // namespace
 
-Election::Election(net::Runtime& runtime, state::Client& state, std::string node,
-                   ElectionTimes times, std::function<void()> on_elected,
-                   std::function<void()> on_step_down, std::size_t peers,
-                   std::function<void(std::uint64_t)> announce)
+Election::Election(net::Runtime& runtime, state::Client& state, std::string node, std::size_t peers,
+                   ElectionTimes times, ElectionCallbacks callbacks)
     : runtime_(runtime),
       state_(state),
       node_(std::move(node)),
       times_(times),
-      on_elected_(std::move(on_elected)),
-      on_step_down_(std::move(on_step_down)),
-      peers_(peers),
-      announce_(std::move(announce)) {}
+      callbacks_(std::move(callbacks)),
+      extension_(peers, times.lease_extension) {}
 
 void Election::start() {
-  started_ = runtime_.now();
-  read();
+  started_at_ = runtime_.now();
+  read_leader_record();
 }
 
 bool Election::holds() const {
-  // 0.05% of drift between two steady clocks, doubled.
-  return leading_ && runtime_.now() < granted_ + times_.ttl - times_.ttl / 1000;
+  return leading_ && runtime_.now() < granted_at_ + less_drift(times_.ttl);
 }
 
 bool Election::may_answer() const {
-  return leading_ &&
-         (holds() || runtime_.now() < std::max(granted_, confirmed_at_) + times_.lease_extension);
-}
-
-void Election::retry(std::function<void()> what) {
-  const std::uint64_t term = term_;
-  runtime_.after(times_.ttl / kRetries, [this, term, what = std::move(what)] {
-    if (term == term_) what();
-  });
-}
-
-void Election::read() {
-  const std::uint64_t term = ++term_;
-  state_.get(
-      kKey,
-      [this, term](const state::GetResult& r) {
-        if (term != term_) return;
-        if (r.outcome == Outcome::missing) {
-          leader_.clear();
-          return campaign();
-        }
-        if (r.outcome != Outcome::ok) return retry([this] { read(); });
-        const std::string who = node_named(r.item.value);
-        if (who == node_) {
-          // A former self, which is dead (or a try whose answer was lost): what is left of it is
-          // fenced by the version once the key is gone.
-          if (r.item.lease == 0) return retry([this] { read(); });
-          return state_.revoke_lease(r.item.lease, [this, term](Outcome) {
-            if (term == term_) retry([this] { read(); });
-          });
-        }
-        leader_ = who;
-        seen_ = r.item.version;
-        highest_known_epoch_ =
-            std::max(highest_known_epoch_, r.item.version);  // what is older is old news
-        watch();
-      },
-      state::Urgency::lease);
-}
-
-void Election::watch() {
-  const std::uint64_t term = term_;
-  state_.watch(kKey, seen_, 4 * times_.ttl, [this, term](const state::WatchResult& r) {
-    if (term != term_) return;
-    if (r.outcome == Outcome::missing) return read();
-    if (r.outcome != Outcome::ok) return retry([this] { watch(); });
-    bool vacant = false;
-    for (const auto& e : r.events) {
-      if (e.key != kKey) continue;
-      vacant = !e.value;
-      if (e.value) highest_known_epoch_ = std::max(highest_known_epoch_, e.version);
-      leader_ = e.value ? node_named(*e.value) : "";
-    }
-    seen_ = r.revision;
-    if (vacant) return campaign();
-    if (leader_ == node_) return read();
-    watch();
-  });
+  return leading_ && (holds() || runtime_.now() < extension_.ends_at(granted_at_));
+}
+
+void Election::call_later(void (Election::*action)()) {
+  runtime_.after(times_.ttl / kRetriesPerTtl, scope_.wrap([this, action] { (this->*action)(); }));
+}
+
+void Election::note_epoch(std::uint64_t epoch) {
+  highest_known_epoch_ = std::max(highest_known_epoch_, epoch);
+}
+
+void Election::read_leader_record() {
+  scope_.renew();
+  state_.get(kKey,
+             scope_.wrap([this](const state::GetResult& result) { on_leader_record_read(result); }),
+             state::Urgency::lease);
+}
+
+void Election::on_leader_record_read(const state::GetResult& result) {
+  if (result.outcome == Outcome::missing) {
+    leader_.clear();
+    return campaign();
+  }
+  if (result.outcome != Outcome::ok) return call_later(&Election::read_leader_record);
+  const std::string named = node_named_in(result.item.value);
+  if (named == node_) return revoke_former_lease(result.item);
+  leader_ = named;
+  watched_revision_ = result.item.version;
+  note_epoch(result.item.version);
+  watch_leader_record();
+}
+
+// The record names this node, which does not lead: an earlier process of it made the record, or a
+// candidacy whose answer was lost. Whatever writes of that term are still on their way fail at the
+// comparison of versions once the key is gone.
+void Election::revoke_former_lease(const state::Item& record) {
+  if (record.lease == 0) return call_later(&Election::read_leader_record);
+  state_.revoke_lease(record.lease,
+                      scope_.wrap([this](Outcome) { call_later(&Election::read_leader_record); }));
+}
+
+void Election::watch_leader_record() {
+  state_.watch(
+      kKey, watched_revision_, kWatchTtls * times_.ttl,
+      scope_.wrap([this](const state::WatchResult& result) { on_leader_record_changed(result); }));
+}
+
+void Election::on_leader_record_changed(const state::WatchResult& result) {
+  if (result.outcome == Outcome::missing) return read_leader_record();
+  if (result.outcome != Outcome::ok) return call_later(&Election::watch_leader_record);
+  bool vacant = false;
+  for (const state::Event& event : result.events) {
+    if (event.key != kKey) continue;
+    vacant = !event.value;
+    if (event.value) note_epoch(event.version);
+    leader_ = event.value ? node_named_in(*event.value) : "";
+  }
+  watched_revision_ = result.revision;
+  if (vacant) return campaign();
+  if (leader_ == node_) return read_leader_record();
+  watch_leader_record();
 }
 
 void Election::campaign() {
-  // Whoever has just made way leaves the others time to stand.
+  if (should_defer_candidacy()) return call_later(&Election::read_leader_record);
+  scope_.renew();
+  granted_at_ = runtime_.now();
+  state_.grant_lease(times_.ttl, scope_.wrap([this](const state::LeaseResult& result) {
+    if (result.outcome != Outcome::ok) return call_later(&Election::read_leader_record);
+    lease_ = result.lease;
+    create_leader_record();
+  }));
+}
+
+bool Election::should_defer_candidacy() {
   const net::Ms now = runtime_.now();
-  if (resigned_ && now - *resigned_ < times_.ttl) return retry([this] { read(); });
-  // So does, once, a node that no worker has come to: without a leader they come to every node that
-  // they can reach.
-  if (!yielded_once_ && !(worker_heard_at_ && now - *worker_heard_at_ < times_.ttl)) {
-    yielded_once_ = true;
-    return retry([this] { read(); });
-  }
-  yielded_once_ = false;
-  const std::uint64_t term = ++term_;
-  granted_ = runtime_.now();
-  state_.grant_lease(times_.ttl, [this, term](const state::LeaseResult& g) {
-    if (term != term_) return;
-    if (g.outcome != Outcome::ok) return retry([this] { read(); });
-    lease_ = g.lease;
-    state::Txn txn;
-    txn.conditions.push_back({kKey, 0});
-    txn.changes.push_back({kKey, wire::Json{{"node", node_}}, lease_});
-    state_.txn(std::move(txn), state::Urgency::lease, [this, term](const state::TxnResult& t) {
-      if (term != term_) return;
-      if (t.outcome == Outcome::ok) return become_leader(t.revision);
-      // Lost, or not known: give this lease up, so that a late copy of the transaction either
-      // fails or makes a key that goes with its lease.
-      state_.revoke_lease(lease_, [](Outcome) {});
-      if (t.outcome == Outcome::conflict) return read();
-      retry([this] { read(); });
-    });
-  });
+  // A node that has just resigned leaves the others time to campaign.
+  if (resigned_at_ && now - *resigned_at_ < times_.ttl) return true;
+  // So does, once before each candidacy, a node to which no worker has come: while there is no
+  // leader, workers come to every node that they can reach, and a leader without workers is of no
+  // use.
+  const bool reached_by_workers = last_heartbeat_at_ && now - *last_heartbeat_at_ < times_.ttl;
+  deferred_for_workers_ = !deferred_for_workers_ && !reached_by_workers;
+  return deferred_for_workers_;
+}
+
+void Election::create_leader_record() {
+  state::Txn txn;
+  txn.conditions.push_back({kKey, 0});
+  txn.changes.push_back({kKey, wire::Json{{"node", node_}}, lease_});
+  state_.txn(
+      std::move(txn), state::Urgency::lease,
+      scope_.wrap([this](const state::TxnResult& result) { on_leader_record_created(result); }));
+}
+
+void Election::on_leader_record_created(const state::TxnResult& result) {
+  if (result.outcome == Outcome::ok) return become_leader(result.revision);
+  // Lost, or the outcome is unknown: the lease is revoked, so that a late copy of the transaction
+  // either fails or creates a key that goes with its lease.
+  state_.revoke_lease(lease_, [](Outcome) {});
+  if (result.outcome == Outcome::conflict) return read_leader_record();
+  call_later(&Election::read_leader_record);
 }
 
 void Election::become_leader(state::Version epoch) {
   leading_ = true;
   epoch_ = epoch;
   leader_ = node_;
-  const std::uint64_t term = ++term_;
-  runtime_.after(times_.ttl / kRenewals, [this, term] {
-    if (term == term_) renew();
-  });
+  scope_.renew();
+  runtime_.after(times_.ttl / kRenewalsPerTtl, scope_.wrap([this] { renew_lease(); }));
   highest_known_epoch_ = epoch;
-  confirmed_at_ = 0;
-  renewal_failed_ = extended_ = false;
-  on_elected_();
-  announce_(0);
+  renewal_failed_ = false;
+  extension_.start_term();
+  callbacks_.on_elected();
+  callbacks_.announce(0);
 }
 
 // Renewals go out at their pace, whether the last was answered or not: the answers of a process
-// that is behind come late, and the lease must not run out for want of asking. An answer counts
+// that is behind come late, and the lease must not expire for want of asking. An answer counts
 // from when its renewal was sent, however late it is.
-void Election::renew() {
-  const std::uint64_t term = term_;
-  const net::Ms sent = runtime_.now();
-  state_.renew_lease(lease_, times_.ttl / kRenewalTimeout, [this, term, sent](Outcome outcome) {
-    if (term == term_) take_renewal(outcome, sent);
-  });
-  runtime_.after(times_.ttl / (renewal_failed_ ? kRetries : kRenewals), [this, term] {
-    if (term == term_) renew();
-  });
-}
-
-void Election::take_renewal(Outcome outcome, net::Ms sent) {
+void Election::renew_lease() {
+  const net::Ms sent_at = runtime_.now();
+  state_.renew_lease(
+      lease_, times_.ttl / kRenewalTimeoutDivisor,
+      scope_.wrap([this, sent_at](Outcome outcome) { on_renewal_answered(outcome, sent_at); }));
+  runtime_.after(times_.ttl / (renewal_failed_ ? kRetriesPerTtl : kRenewalsPerTtl),
+                 scope_.wrap([this] { renew_lease(); }));
+}
+
+void Election::on_renewal_answered(Outcome outcome, net::Ms sent_at) {
   if (outcome == Outcome::missing) return step_down(audit::StepDownReason::lease_ended);
   if (outcome == Outcome::ok) {
-    granted_ = std::max(granted_, sent);
-    renewal_failed_ = extended_ = false;
-    return announce_(0);
+    granted_at_ = std::max(granted_at_, sent_at);
+    renewal_failed_ = false;
+    extension_.on_lease_renewed();
+    return callbacks_.announce(0);
   }
   if (!std::exchange(renewal_failed_, true)) audit::renewal_failed(epoch_, since_grant());
-  // Perhaps the store is down for all. Nobody can have answered a cancellation that we don't
-  // know of unless somebody took over: if none did, the grace counts from now.
-  asked_ = runtime_.now();
-  confirmations_.clear();
-  announce_(++round_);
+  // Perhaps the state service is down for all nodes. Nobody can have answered a cancellation that
+  // this leader doesn't know of unless another has taken over: if none has, the extension counts
+  // from now.
+  callbacks_.announce(extension_.start_round(runtime_.now()));
 }
 
-void Election::on_confirmation(const std::string& node, std::uint64_t round, std::uint64_t epoch,
-                               net::Ms up_ms) {
+void Election::on_confirmation(const std::string& node,
+                               const rpc::EpochConfirmation& confirmation) {
   if (!leading_) return;
-  if (epoch > epoch_) return step_down(audit::StepDownReason::peer_shows_higher_epoch);
-  // Whoever was asked in this term knows of it: this is a late copy of a word given in an earlier
-  // one, by a round that may have had the same number.
-  if (epoch < epoch_) return;
-  // While our lease surely held nobody else led. A node that has been up ever since remembers
-  // whether it did; one that started later may have forgotten, and its word is worth nothing.
-  // (Its time is taken against the word's arrival, since the asking may have been held up.)
-  if (round != round_ || up_ms - up_ms / 1000 < runtime_.now() - granted_) return;
-  confirmations_.insert(node);
-  if (confirmations_.size() != peers_) return;
-  confirmed_at_ = std::max(confirmed_at_, asked_);
-  if (!std::exchange(extended_, true)) audit::extended_by_peers(epoch_, since_grant());
-}
-
-// A leader that the state service has stopped answering would go on telling workers to stay until
-// its grace is over, while the next one waits for them.
+  if (confirmation.epoch > epoch_) return step_down(audit::StepDownReason::peer_shows_higher_epoch);
+  // Every peer that is asked in this term knows of its epoch. So this is a late copy of an answer
+  // given in an earlier term, to a round that may have had the same number.
+  if (confirmation.epoch < epoch_) return;
+  if (extension_.add_confirmation(node, confirmation, since_grant()))
+    audit::extended_by_peers(epoch_, since_grant());
+}
+
+// A leader that the state service has stopped answering steps down at once. Otherwise it would go
+// on renewing workers' leases until its extension ends, while the next leader waits for them.
 void Election::on_leader_announced(const std::string& node, std::uint64_t epoch) {
   if (epoch <= highest_known_epoch_) return;
   highest_known_epoch_ = epoch;
@@ -218,8 +221,9 @@
 
 bool Election::resign() {
   const net::Ms now = runtime_.now();
-  if (!leading_ || (resigned_ && now - *resigned_ < times_.between_resignations)) return false;
-  resigned_ = now;
+  if (!leading_ || (resigned_at_ && now - *resigned_at_ < times_.between_resignations))
+    return false;
+  resigned_at_ = now;
   state_.revoke_lease(lease_, [](Outcome) {});
   step_down(audit::StepDownReason::resigned);
   return true;
@@ -230,8 +234,8 @@
   audit::stepped_down(epoch_, why, since_grant());
   leading_ = false;
   leader_.clear();
-  on_step_down_();
-  read();
+  callbacks_.on_step_down();
+  read_leader_record();
 }
 
 }  // namespace seampass::leader
