--- a/src/jobs/peer_message_handler.cc
+++ b/src/jobs/peer_message_handler.cc
@@ -66,7 +66,7 @@
 
 void PeerMessageHandler::receive(const std::string& from,
                                  const rpc::EpochConfirmation& confirmation) {
-  election_.on_confirmation(from, confirmation.round, confirmation.epoch, confirmation.up_ms);
+  election_.on_confirmation(from, confirmation);
 }
 
 }  // namespace seampass::jobs
