--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -77,7 +77,7 @@
   commands_.end_term();
 }
 
-RecordStore::Hooks LeaderTerm::record_store_hooks() {
+RecordStore::Callbacks LeaderTerm::record_store_hooks() {
   return {.render = [this](const std::string& job,
                            const RecordId& record) { return task_records_.render(job, record); },
           .on_fenced = [this] { on_fenced(); },
--- a/src/leader/leader_term.h
+++ b/src/leader/leader_term.h
@@ -91,7 +91,7 @@
   }
 
   // The callbacks between parts that know one another's name only here.
-  RecordStore::Hooks record_store_hooks();
+  RecordStore::Callbacks record_store_hooks();
   DependencyTracker::Hooks dependency_hooks();
   AttemptLifecycle::Hooks attempt_hooks();
   JobLifecycle::Hooks job_hooks();
