--- a/src/leader/controller.cc
+++ b/src/leader/controller.cc
@@ -42,9 +42,8 @@
                      }}),
       attempts_(runtime),
       scheduling_(
-          runtime, election, fleet_,
-          {jobs_, attempts_, dependencies_.graph(), catalog, state, settings, operator_settings},
-          *this) {}
+          {runtime, jobs_, attempts_, dependencies_.graph(), catalog, settings, operator_settings},
+          state, election, fleet_, *this) {}
 
 void Controller::start_term() {
   end_term();
--- a/src/leader/scheduling/scheduling_loop.cc
+++ b/src/leader/scheduling/scheduling_loop.cc
@@ -1,60 +1,161 @@
 #include "leader/scheduling/scheduling_loop.h"
 
+#include <spdlog/spdlog.h>
+
 #include <algorithm>
+#include <set>
+#include <string>
+#include <utility>
 
 namespace seampass::leader {
 
 using net::Ms;
 
-SchedulingLoop::SchedulingLoop(net::Runtime& runtime, Election& election, Fleet& fleet,
-                               const Sources& sources, TaskActions& actions)
-    : runtime_(runtime),
+namespace {
+
+// A pass follows what calls for it at once, but for the last pass: what comes in between goes
+// together, into fewer records and messages. (A share of the report interval.)
+constexpr double kPassPause = 0.04;
+// After a pass the controller is free for its other work for so many times as long as the pass took
+// and came late.
+constexpr Ms kPassRest = 4;
+
+}  // namespace
+
+SchedulingLoop::SchedulingLoop(const SchedulingSources& sources, const state::Client& state,
+                               Election& election, Fleet& fleet, TaskActions& actions)
+    : sources_(sources),
       election_(election),
       fleet_(fleet),
-      jobs_(sources.jobs),
-      attempts_(sources.attempts),
-      dependencies_(sources.dependencies),
-      catalog_(sources.catalog),
-      state_(sources.state),
-      settings_(sources.settings),
-      operator_settings_(sources.operator_settings),
-      actions_(actions) {
-  for (const config::ServiceLevelObjective& o : settings_.objectives) {
-    objectives_by_class_[o.job_class].push_back(o);
-    if (o.kind != "wait" || o.job_class.empty()) continue;
-    Arrivals& a = arrivals_[o.job_class];
-    a.within_s = a.within_s > 0 ? std::min(a.within_s, o.within_s) : o.within_s;
-  }
-}
+      actions_(actions),
+      snapshot_(sources_, fleet),
+      headroom_(sources_),
+      autoscaler_(sources_, fleet, headroom_, actions),
+      upkeep_(sources_, election, fleet, actions),
+      isolation_(sources.runtime, sources.settings, fleet),
+      load_log_(sources.runtime, sources.settings, state, election) {}
 
 void SchedulingLoop::start_term(Ms began) {
-  began_ = waited_ = ticked_ = load_logged_ = began;
-  isolated_ticks_ = 0;
+  autoscaler_.start_term(began);
+  upkeep_.start_term(began);
+  isolation_.start_term(began);
+  load_log_.start_term(began);
   tick();
 }
 
 void SchedulingLoop::end_term() {
   term_.renew();
   recovered_ = pass_requested_ = false;
-  headroom_machines_.clear();
-  snapshot_ = {};
-  free_slots_.clear();
-  for (auto& [job_class, a] : arrivals_) a.recent.clear();
+  autoscaler_.end_term();
+  snapshot_.end_term();
+  headroom_.end_term();
+}
+
+void SchedulingLoop::request_pass() {
+  if (pass_requested_ || !recovered_) return;
+  pass_requested_ = true;
+  net::Runtime& runtime = sources_.runtime;
+  const Ms due = std::max(runtime.now() + 1, next_pass_at_);
+  runtime.after(due - runtime.now(), term_.wrap([this, due] {
+    pass_requested_ = false;
+    run_pass(sources_.runtime.now() - due);
+  }));
+}
+
+void SchedulingLoop::run_pass(Ms lateness) {
+  if (!may_schedule() || !sources_.catalog.known()) return;
+  const Ms began = sources_.runtime.now();
+  schedule(snapshot_.update());
+  // A slow controller falls behind in freshness, and not in heartbeats, renewals and answers. What
+  // a pass starts is work for later, too: thousands of short tasks would end, be reported and be
+  // replaced until nothing else is done in time, the renewal of the lease included.
+  const Ms after = sources_.runtime.now();
+  next_pass_at_ = after + std::max(kPassRest * (after - began + lateness),
+                                   net::ms(kPassPause * sources_.settings.heartbeat_interval_s));
 }
 
-// Jobs recovered together came at their own times.
-void SchedulingLoop::record_arrival(const JobRecord& job) {
-  const auto aim = arrivals_.find(job.spec.job_class);
-  if (aim == arrivals_.end()) return;
-  const Ms age = std::max<Ms>(0, runtime_.wall() - job.ready_ms);
-  aim->second.latest = job.spec;
-  aim->second.recent.emplace_back(runtime_.now() - age, job.spec.tasks);
+void SchedulingLoop::schedule(const std::vector<JobRecord*>& jobs) {
+  const sched::Decisions decisions = sched::pass(snapshot_.snapshot());
+  const Ms decided_at = sources_.runtime.now();
+  replace_reservations(jobs, decisions);
+  preempt(decisions);
+  for (const sched::Batch& batch : decisions.starts) launch(*jobs[batch.job], batch.tasks);
+  autoscaler_.scale(snapshot_.snapshot(), decided_at);
+}
+
+void SchedulingLoop::replace_reservations(const std::vector<JobRecord*>& jobs,
+                                          const sched::Decisions& decisions) {
+  const Ms now = sources_.runtime.now();
+  for (JobRecord* job : jobs) {
+    if (job->reservations.empty()) job->reservations_since = now;
+    job->reservations.clear();
+  }
+  for (const sched::Batch& batch : decisions.reservations) {
+    for (const sched::Placement& reserved : batch.tasks) {
+      jobs[batch.job]->reservations.emplace_back(
+          reserved.task, snapshot_.snapshot().machines[reserved.machine].name);
+      snapshot_.invalidate(reserved.machine);
+    }
+  }
+}
+
+void SchedulingLoop::preempt(const sched::Decisions& decisions) {
+  std::vector<TaskAttempt*> stops;
+  for (const sched::Preemption& preemption : decisions.preemptions) {
+    double termination_grace_s = 0;
+    for (const sched::Victim& victim : preemption.tasks) {
+      TaskAttempt* attempt = actions_.find_attempt(victim.job, victim.task);
+      if (!attempt) continue;
+      actions_.stop_to_checkpoint(*attempt, audit::StopReason::room_needed);
+      stops.push_back(attempt);
+      termination_grace_s = std::max(termination_grace_s, attempt->termination_grace_s);
+    }
+    Machine* machine = snapshot_.machine_at(preemption.machine);
+    if (!machine) continue;
+    machine->nominated_job = snapshot_.snapshot().jobs[preemption.job].id;
+    machine->nominated_until =
+        sources_.runtime.now() +
+        net::ms(termination_grace_s + 2 * sources_.settings.heartbeat_interval_s);
+    spdlog::debug("clearing {} of {} tasks for {}", machine->name, preemption.tasks.size(),
+                  machine->nominated_job);
+  }
+  actions_.send_stops(stops);
+}
+
+// The job has what it waited for: no room is kept for it any longer.
+void SchedulingLoop::launch(JobRecord& job, const std::vector<sched::Placement>& placements) {
+  for (auto& [name, machine] : fleet_.machines())
+    if (machine.nominated_job == job.spec.id) machine.nominated_job.clear();
+  job.all_or_nothing = false;
+  job.reserved_zone.clear();
+  std::vector<PlacedTask> tasks;
+  for (const sched::Placement& placement : placements) {
+    Machine* machine = snapshot_.machine_at(placement.machine);
+    if (machine) tasks.push_back({placement.task, machine});
+  }
+  actions_.launch(job, tasks);
 }
 
-void SchedulingLoop::forget_machine(const Machine& machine) {
-  if (machine.slot == Machine::kNoSlot) return;
-  snapshot_.machines[machine.slot] = {};
-  free_slots_.push_back(machine.slot);
+void SchedulingLoop::tick() {
+  net::Runtime& runtime = sources_.runtime;
+  const Ms due = runtime.now() + net::ms(sources_.settings.heartbeat_interval_s / 3);
+  runtime.after(due - runtime.now(), term_.wrap([this, due] {
+    tick_lateness_ = sources_.runtime.now() - due;
+    tick();
+  }));
+  load_log_.log_if_due(tick_lateness_);
+  if (!may_schedule()) return;
+  if (isolation_.check() && election_.resign()) return;
+  upkeep_.release_expired();
+  headroom_.trim_arrivals();
+  LeaderUpkeep::Reservations reservations = upkeep_.expire_reservations();
+  if (reservations.any_expired) request_pass();
+  std::set<std::string> reserved = std::move(reservations.machines);
+  reserved.insert(autoscaler_.headroom_machines().begin(), autoscaler_.headroom_machines().end());
+  upkeep_.drain_preempted();
+  log_use(fleet_.machines());
+  fleet_.reclaim_unwanted(reserved);
+  request_pass();
 }
 
 }  // namespace seampass::leader
--- /dev/null
+++ b/src/leader/scheduling/sources.h
@@ -0,0 +1,32 @@
+// What the parts of scheduling read of the rest of the leader. All of it outlives them.
+#pragma once
+
+#include <algorithm>
+
+#include "cloud/machine_catalog.h"
+#include "config/settings.h"
+#include "leader/attempts/attempt_tracker.h"
+#include "leader/jobs/job_record.h"
+#include "net/runtime.h"
+#include "sched/dependency_graph.h"
+
+namespace seampass::leader {
+
+struct SchedulingSources {
+  net::Runtime& runtime;
+  const JobMap& jobs;  // decisions are made in the order of its keys
+  const AttemptTracker& attempts;
+  const sched::DependencyGraph& dependencies;
+  const cloud::MachineCatalog& catalog;
+  const config::Settings& settings;
+  const config::OperatorSettings& operator_settings;
+};
+
+// The longest boot of any machine type, in seconds; 0 if no type is known.
+[[nodiscard]] inline double longest_boot_s(const cloud::MachineCatalog& catalog) {
+  double longest = 0;
+  for (const auto& [name, type] : catalog.types()) longest = std::max(longest, type.boot_s);
+  return longest;
+}
+
+}  // namespace seampass::leader
--- /dev/null
+++ b/src/leader/scheduling/usage_log.cc
@@ -0,0 +1,57 @@
+#include "leader/scheduling/usage_log.h"
+
+#include <spdlog/spdlog.h>
+
+#include <map>
+#include <string>
+
+#include "leader/audit_log.h"
+#include "leader/jobs/job_record.h"
+
+namespace seampass::leader {
+
+using wire::TaskState;
+
+namespace {
+
+struct Use {
+  int up = 0, booting = 0, idle = 0, closed = 0, starting = 0, waiting = 0, running = 0;
+
+  void add(const Machine& machine) {
+    ++(machine.registered ? up : booting);
+    if (!machine.registered) return;
+    if (machine.attempts.empty()) ++idle;
+    if (machine.draining || machine.deleting || machine.preemption_at) ++closed;
+    for (const auto& [task, attempt] : machine.attempts)
+      ++(attempt->state == TaskState::running   ? running
+         : attempt->state == TaskState::waiting ? waiting
+                                                : starting);
+  }
+};
+
+}  // namespace
+
+void LoadLog::log_if_due(net::Ms lateness) {
+  if (runtime_.now() < logged_at_ + net::ms(settings_.lease_s)) return;
+  logged_at_ = runtime_.now();
+  audit::Load load;
+  load.store = state_.counters();
+  load.waiting_reads = state_.waiting(false);
+  load.waiting_writes = state_.waiting(true);
+  load.backlog = state_.backlog(state::Urgency::progress);
+  load.lateness = lateness;
+  load.since_grant = election_.since_grant();
+  audit::load(load);
+}
+
+void log_use(const MachineInventory::Map& machines) {
+  if (!spdlog::should_log(spdlog::level::debug)) return;
+  std::map<std::string, Use> by_type;
+  for (const auto& [name, machine] : machines) by_type[machine.type].add(machine);
+  for (const auto& [type, use] : by_type)
+    spdlog::debug(
+        "{}: {} up, {} not yet, {} idle, {} closed; tasks {} starting, {} waiting, {} running",
+        type, use.up, use.booting, use.idle, use.closed, use.starting, use.waiting, use.running);
+}
+
+}  // namespace seampass::leader
