--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -25,9 +25,8 @@
       dependencies_(runtime, status_reader, net::ms(settings.heartbeat_interval_s / 10),
                     dependency_hooks()),
       scheduling_(
-          runtime, election, fleet_,
-          {jobs_, tracker_, dependencies_.graph(), catalog, state, settings, operator_settings},
-          *this),
+          {runtime, jobs_, tracker_, dependencies_.graph(), catalog, settings, operator_settings},
+          state, election, fleet_, *this),
       commands_(context_, workers_, fleet_, jobs_,
                 [this](Machine& machine, const wire::Heartbeat& report) {
                   reconciler_.reconcile(machine, report, ReportSource::command_answer);
