--- a/src/leader/scheduling/usage_log.cc
+++ b/src/leader/scheduling/usage_log.cc
@@ -36,8 +36,8 @@
   logged_at_ = runtime_.now();
   audit::Load load;
   load.store = state_.counters();
-  load.waiting_reads = state_.waiting(false);
-  load.waiting_writes = state_.waiting(true);
+  load.waiting_reads = state_.waiting(state::RequestKind::read);
+  load.waiting_writes = state_.waiting(state::RequestKind::write);
   load.backlog = state_.backlog(state::Urgency::progress);
   load.lateness = lateness;
   load.since_grant = election_.since_grant();
--- a/src/leader/scheduling/views.cc
+++ b/src/leader/scheduling/views.cc
@@ -13,18 +13,18 @@
          attempt.state == TaskState::running && !attempt.stop;
 }
 
-sched::PreemptibleTask victim_of(const TaskAttempt& attempt) {
+sched::PreemptibleTask preemptible_task_of(const TaskAttempt& attempt) {
   const wire::Job& spec = attempt.job->spec;
-  sched::PreemptibleTask victim;
-  victim.job = spec.id;
-  victim.task = attempt.task;
-  victim.priority = spec.priority;
-  victim.request = request_of(spec);
-  victim.image = spec.image;
-  victim.spot = spec.spot;
-  victim.anywhere = !spec.zone && !spec.one_zone && !spec.spread;
-  victim.save_s = spec.save_s;
-  return victim;
+  sched::PreemptibleTask preemptible;
+  preemptible.job = spec.id;
+  preemptible.task = attempt.task;
+  preemptible.priority = spec.priority;
+  preemptible.request = request_of(spec);
+  preemptible.image = spec.image;
+  preemptible.spot = spec.spot;
+  preemptible.any_zone = !spec.zone && !spec.one_zone && !spec.spread;
+  preemptible.save_s = spec.save_s;
+  return preemptible;
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
   view.preemptible_tasks.clear();
   for (const auto& [task, attempt] : machine.attempts) {
     view.free -= request_of(attempt->job->spec);
-    if (is_preemptible(*attempt)) view.preemptible_tasks.push_back(victim_of(*attempt));
+    if (is_preemptible(*attempt)) view.preemptible_tasks.push_back(preemptible_task_of(*attempt));
   }
   view.images = machine.images;
   view.tasks = machine.attempts.size();
