--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,4 +1,4 @@
-// The dependency graph beside a slow plain model: all edges, looked at anew for every question.
+// The dependency graph compared with a slow plain model that goes over all edges for every query.
 #include "sched/dependency_graph.h"
 
 #include <gtest/gtest.h>
@@ -27,20 +27,22 @@
   bool cancelled(const std::string& id) const {
     const Job& job = jobs.at(id);
     if (job.state == State::cancelled) return true;
-    return job.state == State::open && std::any_of(job.dependencies.begin(), job.dependencies.end(),
-                                                   [this](const auto& d) { return cancelled(d); });
+    return job.state == State::open &&
+           std::any_of(job.dependencies.begin(), job.dependencies.end(),
+                       [this](const auto& name) { return cancelled(name); });
   }
   bool ready(const std::string& id) const {
     const Job& job = jobs.at(id);
     return job.state == State::open &&
            std::all_of(job.dependencies.begin(), job.dependencies.end(),
-                       [this](const auto& d) { return jobs.at(d).state == State::done; });
+                       [this](const auto& name) { return jobs.at(name).state == State::done; });
   }
   bool undecided(const std::string& id) const {
     const Job& job = jobs.at(id);
     if (job.state == State::unknown) return true;
-    return job.state == State::open && std::any_of(job.dependencies.begin(), job.dependencies.end(),
-                                                   [this](const auto& d) { return undecided(d); });
+    return job.state == State::open &&
+           std::any_of(job.dependencies.begin(), job.dependencies.end(),
+                       [this](const auto& name) { return undecided(name); });
   }
   Priority effective(const std::string& id) const {
     Priority highest = jobs.at(id).priority;
@@ -54,28 +56,27 @@
   }
 };
 
-// Random graphs of jobs that come in any order, their news too, and end in any order that the rules
-// allow.
+// Random graphs of jobs that are added in any order and end in any order that the rules allow.
 class RandomDay {
  public:
   explicit RandomDay(unsigned seed) : random_(seed) {}
 
   void play() {
-    std::vector<std::string> unheard;
+    std::vector<std::string> not_added;
     for (int i = 0; i < 30; ++i) {
       const std::string id = "wk-" + std::to_string(i);
       PlainGraph::Job job;
       job.priority = static_cast<Priority>(random_() % 4);
-      for (int k = 0; k < 3 && i > 0; ++k)
+      for (int draw = 0; draw < 3 && i > 0; ++draw)
         if (random_() % 2 == 0) job.dependencies.push_back("wk-" + std::to_string(random_() % i));
       submitted_[id] = job;
-      unheard.push_back(id);
+      not_added.push_back(id);
     }
-    std::shuffle(unheard.begin(), unheard.end(), random_);
+    std::shuffle(not_added.begin(), not_added.end(), random_);
     for (int step = 0; step < 200; ++step) {
-      if (!unheard.empty() && random_() % 2 == 0) {
-        hear(unheard.back());
-        unheard.pop_back();
+      if (!not_added.empty() && random_() % 2 == 0) {
+        add(not_added.back());
+        not_added.pop_back();
       } else {
         end_one();
       }
@@ -84,7 +85,7 @@
   }
 
  private:
-  void hear(const std::string& id) {
+  void add(const std::string& id) {
     if (plain_.jobs[id].state != PlainGraph::State::unknown) return;
     PlainGraph::Job job = submitted_.at(id);
     job.state = PlainGraph::State::open;
@@ -93,7 +94,7 @@
     const auto effects = graph_.add(id, job.priority, job.dependencies);
     EXPECT_TRUE(effects.ready.empty());
     for (const std::string& other : effects.cancelled) EXPECT_TRUE(plain_.cancelled(other));
-    // What has ended has left the graph, and whoever owns it reads of the end.
+    // A job that has ended has left the graph; the graph's owner reads its final status.
     for (const std::string& name : job.dependencies) {
       if (!graph_.unknown().contains(name)) continue;
       if (plain_.jobs[name].state == PlainGraph::State::done) graph_.finish(name);
@@ -101,7 +102,7 @@
     }
   }
 
-  // Any job may be cancelled, also one that is only named; one that is ready may be done.
+  // Any job may be cancelled, also one that was never added; one that is ready may be done.
   void end_one() {
     if (plain_.jobs.empty()) return;
     auto at = plain_.jobs.begin();
--- a/tests/model/plain_scheduler.h
+++ b/tests/model/plain_scheduler.h
@@ -1,9 +1,10 @@
-// The scheduler as plainly as it can be said: slow, first fit, everything recounted each time from
-// the list of who is where. The real one is compared with it.
+// A reference scheduler that is plain rather than quick: first fit, everything counted again for
+// each decision from the list of placements. The tests compare the real one with it.
 #pragma once
 
 #include <algorithm>
 #include <string>
+#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -15,31 +16,34 @@
   std::size_t job;
   std::uint32_t task;
   std::size_t machine;
-  bool held;
-  bool operator<(const Placed& o) const {
-    return std::tie(job, task, machine, held) < std::tie(o.job, o.task, o.machine, o.held);
+  bool reserved;
+  bool operator<(const Placed& other) const {
+    return std::tie(job, task, machine, reserved) <
+           std::tie(other.job, other.task, other.machine, other.reserved);
   }
-  bool operator==(const Placed& o) const = default;
+  bool operator==(const Placed& other) const = default;
 };
 
 class PlainScheduler {
  public:
-  explicit PlainScheduler(const sched::ClusterSnapshot& p) : p_(p) {}
+  explicit PlainScheduler(const sched::ClusterSnapshot& snapshot) : snapshot_(snapshot) {}
 
   std::vector<Placed> run() {
     std::vector<std::size_t> queue;
-    for (std::size_t j = 0; j < p_.jobs.size(); ++j) queue.push_back(j);
+    for (std::size_t job_index = 0; job_index < snapshot_.jobs.size(); ++job_index)
+      queue.push_back(job_index);
     // A plain bubble sort by the three rules of the queue.
     for (std::size_t a = 0; a < queue.size(); ++a)
       for (std::size_t b = 0; b + 1 < queue.size(); ++b)
-        if (before(p_.jobs[queue[b + 1]], p_.jobs[queue[b]])) std::swap(queue[b], queue[b + 1]);
-    for (const std::size_t j : queue) {
-      const auto& job = p_.jobs[j];
+        if (before(snapshot_.jobs[queue[b + 1]], snapshot_.jobs[queue[b]]))
+          std::swap(queue[b], queue[b + 1]);
+    for (const std::size_t job_index : queue) {
+      const auto& job = snapshot_.jobs[job_index];
       if (job.blocked || job.pending.empty()) continue;
       if (job.kind == wire::JobKind::gang)
-        gang(j);
+        place_gang(job_index);
       else
-        fill(j, "", false);
+        fill(job_index, "", false);
     }
     std::sort(out_.begin(), out_.end());
     return out_;
@@ -53,91 +57,94 @@
     return a.id < b.id;
   }
 
-  void gang(std::size_t j) {
-    const auto& job = p_.jobs[j];
+  void place_gang(std::size_t job_index) {
+    const auto& job = snapshot_.jobs[job_index];
     std::vector<std::string> zones{""};
     if (job.reserved_zone) {
       zones = {*job.reserved_zone};
     } else if (job.one_zone) {
       zones.clear();
-      for (const auto& m : p_.machines)
-        if (m.schedulable && std::find(zones.begin(), zones.end(), m.zone) == zones.end())
-          zones.push_back(m.zone);
+      for (const auto& machine : snapshot_.machines)
+        if (machine.schedulable &&
+            std::find(zones.begin(), zones.end(), machine.zone) == zones.end())
+          zones.push_back(machine.zone);
       std::sort(zones.begin(), zones.end());
     }
-    const auto start = out_;
+    const auto earlier_jobs = out_;
     auto best = out_;
     double best_cost = 0;
     for (const auto& zone : zones) {
-      out_ = start;
+      out_ = earlier_jobs;
       double cost = 0;
-      fill(j, zone, true);
-      for (std::size_t k = start.size(); k < out_.size(); ++k) {
-        const auto& m = p_.machines[out_[k].machine];
-        cost += m.price * (m.images.count(job.image) ? 1 : 2);
+      fill(job_index, zone, true);
+      for (std::size_t placed = earlier_jobs.size(); placed < out_.size(); ++placed) {
+        const auto& machine = snapshot_.machines[out_[placed].machine];
+        cost += machine.price * (machine.images.count(job.image) ? 1 : 2);
       }
       if (out_.size() > best.size() ||
-          (out_.size() == best.size() && out_.size() > start.size() && cost < best_cost)) {
+          (out_.size() == best.size() && out_.size() > earlier_jobs.size() && cost < best_cost)) {
         best = out_;
         best_cost = cost;
       }
     }
-    const bool whole = best.size() - start.size() == job.pending.size();
-    out_ = whole || !job.all_or_nothing ? best : start;
+    const bool whole = best.size() - earlier_jobs.size() == job.pending.size();
+    out_ = whole || !job.all_or_nothing ? best : earlier_jobs;
     if (whole)
-      for (auto& x : out_)
-        if (x.job == j) x.held = false;
+      for (auto& placed : out_)
+        if (placed.job == job_index) placed.reserved = false;
   }
 
   // Machine after machine is filled with the first tasks that have no place yet. Where only tasks
   // are left that must avoid it, one of them changes places with one placed before.
-  void fill(std::size_t j, const std::string& zone, bool held) {
-    const auto& job = p_.jobs[j];
+  void fill(std::size_t job_index, const std::string& zone, bool reserved) {
+    const auto& job = snapshot_.jobs[job_index];
     const auto first = out_.size();
-    const auto may = [&](std::uint32_t t, std::size_t i) {
-      return job.anti_affinity.count({t, i}) == 0;
+    const auto may_use = [&](std::uint32_t task, std::size_t machine_index) {
+      return job.anti_affinity.count({task, machine_index}) == 0;
     };
-    const auto one = [&](std::size_t i) {
+    const auto add_one = [&](std::size_t machine_index) {
       std::vector<std::uint32_t> rest;
-      for (const auto t : job.pending) {
-        bool placed = false;
-        for (auto k = first; k < out_.size(); ++k) placed = placed || out_[k].task == t;
-        if (!placed) rest.push_back(t);
+      for (const auto task : job.pending) {
+        bool is_placed = false;
+        for (auto earlier = first; earlier < out_.size(); ++earlier)
+          is_placed = is_placed || out_[earlier].task == task;
+        if (!is_placed) rest.push_back(task);
       }
-      for (const auto t : rest)
-        if (may(t, i)) return out_.push_back({j, t, i, held}), true;
-      for (const auto t : rest)
-        for (auto k = first; k < out_.size(); ++k)
-          if (may(out_[k].task, i) && may(t, out_[k].machine)) {
-            out_.push_back({j, out_[k].task, i, held});
-            out_[k].task = t;
+      for (const auto task : rest)
+        if (may_use(task, machine_index))
+          return out_.push_back({job_index, task, machine_index, reserved}), true;
+      for (const auto task : rest)
+        for (auto earlier = first; earlier < out_.size(); ++earlier)
+          if (may_use(out_[earlier].task, machine_index) && may_use(task, out_[earlier].machine)) {
+            out_.push_back({job_index, out_[earlier].task, machine_index, reserved});
+            out_[earlier].task = task;
             return true;
           }
       return false;
     };
-    for (std::size_t i = 0; i < p_.machines.size(); ++i)
-      while (fits(j, i, zone) && one(i)) continue;
+    for (std::size_t machine_index = 0; machine_index < snapshot_.machines.size(); ++machine_index)
+      while (fits(job_index, machine_index, zone) && add_one(machine_index)) continue;
   }
 
-  bool fits(std::size_t j, std::size_t i, const std::string& zone) const {
-    const auto& job = p_.jobs[j];
-    const auto& m = p_.machines[i];
-    if (!m.schedulable || (!zone.empty() && m.zone != zone)) return false;
-    if (m.spot && !job.spot) return false;
-    if (job.zone && *job.zone != m.zone) return false;
+  bool fits(std::size_t job_index, std::size_t machine_index, const std::string& zone) const {
+    const auto& job = snapshot_.jobs[job_index];
+    const auto& machine = snapshot_.machines[machine_index];
+    if (!machine.schedulable || (!zone.empty() && machine.zone != zone)) return false;
+    if (machine.spot && !job.spot) return false;
+    if (job.zone && *job.zone != machine.zone) return false;
     if (job.types && *job.types &&
-        std::count((*job.types)->begin(), (*job.types)->end(), m.type) == 0)
+        std::count((*job.types)->begin(), (*job.types)->end(), machine.type) == 0)
       return false;
-    sched::Resources free = m.free;
-    sched::Resources team{p_.teams.at(job.team).cpus, p_.teams.at(job.team).gpus, 0};
+    sched::Resources free = machine.free;
+    sched::Resources team{snapshot_.teams.at(job.team).cpus, snapshot_.teams.at(job.team).gpus, 0};
     auto in_zone = job.placed;
-    for (const auto& x : out_) {
-      const auto& other = p_.jobs[x.job];
-      if (x.machine == i) free -= other.request;
+    for (const auto& placed : out_) {
+      const auto& other = snapshot_.jobs[placed.job];
+      if (placed.machine == machine_index) free -= other.request;
       if (other.team == job.team) team += other.request;
-      if (x.job == j) ++in_zone[p_.machines[x.machine].zone];
+      if (placed.job == job_index) ++in_zone[snapshot_.machines[placed.machine].zone];
     }
-    const auto& limit = p_.teams.at(job.team);
+    const auto& limit = snapshot_.teams.at(job.team);
     if (limit.cpus_max && job.request.cpus > 0 &&
         team.cpus + job.request.cpus > *limit.cpus_max + 1e-6)
       return false;
@@ -146,13 +153,14 @@
       return false;
     if (!job.request.fits_in(free)) return false;
     bool elsewhere = false;
-    for (const auto& [z, n] : in_zone) elsewhere = elsewhere || (n > 0 && z != m.zone);
+    for (const auto& [zone_name, count] : in_zone)
+      elsewhere = elsewhere || (count > 0 && zone_name != machine.zone);
     if (job.one_zone && elsewhere) return false;
-    if (job.spread && in_zone[m.zone] + 1 > (job.tasks + 1) / 2) return false;
+    if (job.spread && in_zone[machine.zone] + 1 > (job.tasks + 1) / 2) return false;
     return true;
   }
 
-  const sched::ClusterSnapshot& p_;
+  const sched::ClusterSnapshot& snapshot_;
   std::vector<Placed> out_;
 };
 
