--- a/src/sched/autoscaler.cc
+++ b/src/sched/autoscaler.cc
@@ -83,7 +83,7 @@
 }
 
 // (Tasks with a reservation are in the team's use already.)
-std::uint32_t Autoscaler::missing_tasks(const JobView& job, const TeamView& team) const {
+std::uint32_t Autoscaler::missing_tasks(const JobView& job, const TeamView& team) {
   const auto unreserved = static_cast<std::uint32_t>(job.unreserved_tasks());
   const std::uint32_t within_quota = std::min(unreserved, team.allows(job.request));
   return job.kind == wire::JobKind::gang && within_quota < unreserved ? 0 : within_quota;
--- a/src/sched/autoscaler.h
+++ b/src/sched/autoscaler.h
@@ -59,7 +59,7 @@
   void provide_headroom(const Headroom& headroom);
 
   // How many tasks need room: 0 too for a gang that the quota does not let start.
-  [[nodiscard]] std::uint32_t missing_tasks(const JobView& job, const TeamView& team) const;
+  [[nodiscard]] static std::uint32_t missing_tasks(const JobView& job, const TeamView& team);
   [[nodiscard]] std::uint32_t nominated_room(const JobView& job, std::uint32_t missing) const;
   // The zone that all tasks have to be in by what is placed; empty: not decided.
   [[nodiscard]] static std::string required_zone(const JobView& job, const ZoneCounts& in_zone);
--- a/src/sched/dependency_graph.cc
+++ b/src/sched/dependency_graph.cc
@@ -47,7 +47,7 @@
   const NodeSet upstream = job.upstream;
   for (Node* dependency : upstream) {
     disconnect(job, *dependency);
-    // Nobody asks about it any more.
+    // No dependent is left that needs to know what becomes of it.
     if (dependency->state == State::unknown && dependency->downstream.empty()) erase(*dependency);
   }
 }
@@ -117,12 +117,12 @@
   return effects;
 }
 
-// None of the others has begun, since this one was not done.
+// None of the dependents has started a task, since this job was not done.
 std::vector<std::string> DependencyGraph::cancel_with_downstream(Node& job) {
   std::vector<std::string> result;
   std::vector<Node*> next;
   const auto mark = [&](Node& node) {
-    // (Before anything is let go of: an unknown job goes with the last that names it.)
+    // Before the edges are removed: a node in state unknown is erased with its last dependent.
     node.state = State::cancelled;
     // Once it is cancelled, nothing else that it depends on matters.
     disconnect_upstream(node);
@@ -181,7 +181,7 @@
   if (!node || unknown_.empty()) return false;
   const auto found = visit_upstream(*node);
   return std::any_of(found.begin(), found.end(),
-                     [](const Node* n) { return n->state == State::unknown; });
+                     [](const Node* upstream) { return upstream->state == State::unknown; });
 }
 
 std::vector<std::string> DependencyGraph::upstream(const std::string& job) const {
--- a/src/sched/dependency_graph.h
+++ b/src/sched/dependency_graph.h
@@ -1,8 +1,8 @@
-// The directed acyclic graph of jobs that wait for one another. Pure: it is told what becomes of
-// jobs and answers what follows for the others.
+// The directed acyclic graph of jobs and their dependencies. Pure: its owner (the leader's
+// dependency tracker) adds jobs and says how they end; it answers what follows for the others.
 //
-// Only open jobs stay in the graph, with those that they name and of which nothing is known yet.
-// Depth is not bounded: nothing recurses, and no question visits a job twice.
+// Only open jobs are in the graph, with the jobs that they depend on and whose state is not known
+// yet. Depth is not bounded: nothing recurses, and no query visits a job twice.
 #pragma once
 
 #include <array>
@@ -20,32 +20,35 @@
  public:
   // What follows from an event, for open jobs.
   struct Effects {
-    std::vector<std::string> ready;      // all that they depend on is done, as of now
-    std::vector<std::string> cancelled;  // a job that they depend on is cancelled
+    std::vector<std::string> ready;      // their last dependency is done by this event
+    std::vector<std::string> cancelled;  // a dependency, direct or indirect, is cancelled
   };
 
-  // An open job. Dependencies that the graph does not have are unknown until they are added or
-  // ended. A job without any is ready from the start, and not named in the effects.
+  // Adds an open job. Dependencies that are not in the graph are unknown until they are added,
+  // finished or cancelled. A job without dependencies is ready from the start, and is not among
+  // the effects.
   Effects add(const std::string& job, wire::Priority priority,
               const std::vector<std::string>& dependencies);
-  // The job's final status is durable; it leaves the graph. For one that is merely named, too.
+  // The job's final status is durable, done or cancelled; the job leaves the graph. Also for a job
+  // that was never added and is in the graph as a dependency only.
   Effects finish(const std::string& job);
   Effects cancel(const std::string& job);
   void clear();
 
-  bool contains(const std::string& job) const { return nodes_.contains(job); }
-  // Nothing is in its way. False for a job that is not in the graph.
-  bool ready(const std::string& job) const;
-  // A job that it depends on, directly or through others, is cancelled.
-  bool cancelled(const std::string& job) const;
-  // Whether it is cancelled can't be told: nothing is known of some job that it depends on.
-  bool undecided(const std::string& job) const;
+  [[nodiscard]] bool contains(const std::string& job) const { return nodes_.contains(job); }
+  // Whether all its dependencies are done. False for a job that is not in the graph.
+  [[nodiscard]] bool ready(const std::string& job) const;
+  // Whether a job that it depends on, directly or through others, is cancelled.
+  [[nodiscard]] bool cancelled(const std::string& job) const;
+  // Whether a job that it depends on, directly or through others, is in state unknown, so that the
+  // job may turn out to be cancelled.
+  [[nodiscard]] bool undecided(const std::string& job) const;
   // All jobs that it depends on, directly or through others, and that are not known to be done.
-  std::vector<std::string> upstream(const std::string& job) const;
-  // Those that are named and of which nothing is known.
-  const std::set<std::string>& unknown() const { return unknown_; }
-  // The highest among its own and those of the jobs that depend on it.
-  wire::Priority effective_priority(const std::string& job) const;
+  [[nodiscard]] std::vector<std::string> upstream(const std::string& job) const;
+  // Dependencies in state unknown.
+  [[nodiscard]] const std::set<std::string>& unknown() const { return unknown_; }
+  // The highest among its own priority and those of its dependents, direct and indirect.
+  [[nodiscard]] wire::Priority effective_priority(const std::string& job) const;
 
  private:
   static constexpr std::size_t kPriorities = 4;
@@ -69,13 +72,13 @@
   };
 
   Node& ensure(const std::string& job);
-  const Node* find(const std::string& job) const;
+  [[nodiscard]] const Node* find(const std::string& job) const;
   static void connect(Node& job, Node& dependency);
   static void disconnect(Node& job, Node& dependency);
   void disconnect_upstream(Node& job);
-  // Brings the effective priorities of this job and of those upstream up to date.
+  // Recomputes the effective priorities of this job and of those upstream.
   static void update_priority(Node& job);
-  // Marks it and all that depend on it, directly or through others; the names of these others.
+  // Cancels the job and its dependents, direct and indirect; returns the dependents' names.
   std::vector<std::string> cancel_with_downstream(Node& job);
   static std::vector<const Node*> visit_upstream(const Node& job);
   void erase(Node& job);
--- a/src/sched/score.h
+++ b/src/sched/score.h
@@ -1,8 +1,8 @@
 // Score: which of the machines with room a task goes to.
 #pragma once
 
-#include <compare>
 #include <cstddef>
+#include <tuple>
 
 #include "sched/cluster_snapshot.h"
 
@@ -21,7 +21,11 @@
   double free_cpus = 0;
   std::size_t machine = 0;  // index into ClusterSnapshot::machines: makes the order total
 
-  auto operator<=>(const MachineScore& other) const = default;
+  [[nodiscard]] auto members() const {
+    return std::tie(wastes_gpus, fetch_delays_start, price, fetches_image, free_gpus, free_cpus,
+                    machine);
+  }
+  bool operator<(const MachineScore& other) const { return members() < other.members(); }
 };
 
 // The score of this machine for one task of the job. (Inline: a pass calls it for each machine.)
