--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -25,23 +25,24 @@
                  .on_final_status_found = [this](const std::string&,
                                                  wire::Stage) { ended_elsewhere = true; },
                  .on_value_too_large = [this] { rejected = true; }}) {
-    net.serve("state:1",
-              [this](const net::Request& r, net::Answer a) { service.handle(r, std::move(a)); });
+    net.serve("state:1", [this](const net::Request& request, net::Answer answer) {
+      service.handle(request, std::move(answer));
+    });
     put(kLeaderKey, {{"node", "n0"}});
     records.start_term(revision);
   }
-  void put(const std::string& key, const wire::Json& v) {
-    state::Txn t;
-    t.changes.push_back({key, v, 0});
-    client.txn(std::move(t), state::Urgency::final_status,
-               [this](const state::TxnResult& r) { revision = r.revision; });
+  void put(const std::string& key, const wire::Json& json) {
+    state::Txn txn;
+    txn.changes.push_back({key, json, 0});
+    client.txn(std::move(txn), state::Urgency::final_status,
+               [this](const state::TxnResult& result) { revision = result.revision; });
     time.run_for(100);
   }
   wire::Json stored(const std::string& key) {
-    wire::Json v;
-    client.get(key, [&](const state::GetResult& g) { v = g.item.value; });
+    wire::Json found;
+    client.get(key, [&](const state::GetResult& result) { found = result.item.value; });
     time.run_for(100);
-    return v;
+    return found;
   }
 
   fakes::SimTime time;
@@ -59,10 +60,10 @@
 
 TEST_F(RecordStoreTest, LostAnswerIsReadBackAndReportedOnce) {
   int lost = 0, durable = 0;
-  net.set_rule([&](const std::string&, const net::Call& c) {
-    Delivery f;
-    f.lose_answer = c.path == "/txn" && lost++ == 0;
-    return f;
+  net.set_rule([&](const std::string&, const net::Call& call) {
+    Delivery delivery;
+    delivery.lose_answer = call.path == "/txn" && lost++ == 0;
+    return delivery;
   });
   records.write("wk-1", chunk, state::Urgency::assignment, [&] { ++durable; });
   time.run_for(5000);
@@ -73,10 +74,10 @@
 
 TEST_F(RecordStoreTest, LateWriteCannotUndoANewerOne) {
   int sent = 0, durable = 0;
-  net.set_rule([&](const std::string&, const net::Call& c) {
-    Delivery f;
-    if (c.path == "/txn" && sent++ == 0) f.late = 20000;
-    return f;
+  net.set_rule([&](const std::string&, const net::Call& call) {
+    Delivery delivery;
+    if (call.path == "/txn" && sent++ == 0) delivery.late = 20000;
+    return delivery;
   });
   records.write("wk-1", chunk, state::Urgency::assignment, [&] { ++durable; });
   time.run_for(1000);
@@ -127,7 +128,7 @@
   put("ends/wk-1", {{"stage", "withdrawn"}, {"done", 0}});
   wire::Stage stage = wire::Stage::queued;
   records.write_final_status("wk-1", 3, wire::Stage::done, 2, state::Urgency::final_status,
-                             [&](wire::Stage s) { stage = s; });
+                             [&](wire::Stage actual) { stage = actual; });
   time.run_for(3000);
   EXPECT_EQ(stage, wire::Stage::cancelled);
 }
