--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -53,7 +53,7 @@
 
 // ---- Dependencies ----
 
-void JobLifecycle::on_ready(const std::string& id, const std::string& last_dependency) {
+void JobLifecycle::on_ready(const std::string& id, const std::string& last_dependency) const {
   JobRecord* job = parts_.jobs.find(id);
   if (!job) return;
   job->ready_ms = context_.runtime.wall();
--- a/src/leader/jobs/job_lifecycle.h
+++ b/src/leader/jobs/job_lifecycle.h
@@ -47,7 +47,7 @@
   // ended.
   void apply_open_record(const std::string& id, const wire::Json& record, state::Version version);
   // All that it depends on is done, this one last.
-  void on_ready(const std::string& id, const std::string& last_dependency);
+  void on_ready(const std::string& id, const std::string& last_dependency) const;
   // A job that it depends on is cancelled.
   void cancel_dependent(const std::string& id);
   // Its user wants it cancelled; it must be active.
--- a/src/leader/jobs/job_request_handler.cc
+++ b/src/leader/jobs/job_request_handler.cc
@@ -23,8 +23,8 @@
   if (!context_.term.ready()) return reply({});
   JobRecord* job = jobs_.find(id);
   // A job recovered after its end has no stage here; its final status is read.
-  const bool stage_unknown = job && job->ended() && job->stage == wire::Stage::queued;
-  if (!job || stage_unknown) return look_up(id, kind, std::move(reply));
+  if (!job || (job->ended() && job->stage == wire::Stage::queued))
+    return look_up(id, kind, std::move(reply));
   if (job->ended() || lifecycle_.upstream_cancelled(*job)) return reply(lifecycle_.status_of(*job));
   if (kind == JobRequestKind::poll) return answer_poll(*job, reply);
   cancel(*job, std::move(reply));
--- a/src/leader/records/task_record_writer.h
+++ b/src/leader/records/task_record_writer.h
@@ -27,20 +27,21 @@
   // All controllers read segments from now on.
   void use_segments(RecordSpans spans);
 
-  // What this task's record should hold has changed; `durable` runs once it is in the store.
-  void record_changed(const std::string& job, std::uint32_t task, state::Urgency urgency,
+  // What the record of this task of the job should hold has changed; `durable` runs once it is in
+  // the store.
+  void record_changed(const std::string& id, std::uint32_t task, state::Urgency urgency,
                       std::function<void()> durable = nullptr);
   // Nothing of the records that hold this task waits or is on its way.
-  [[nodiscard]] bool record_settled(const std::string& job, std::uint32_t task) const;
+  [[nodiscard]] bool record_settled(const std::string& id, std::uint32_t task) const;
   // The record that a change of this task is written to now.
   [[nodiscard]] RecordId record_of(std::uint32_t task) const { return layout_.record_of(task); }
   // What a record should hold now; none: it should not exist.
-  [[nodiscard]] std::optional<wire::Json> render(const std::string& job,
+  [[nodiscard]] std::optional<wire::Json> render(const std::string& id,
                                                  const RecordId& record) const;
   [[nodiscard]] const RecordLayout& layout() const { return layout_; }
 
  private:
-  void replace_chunks(const std::string& job);
+  void replace_chunks(const std::string& id);
 
   const JobTable& jobs_;
   RecordStore& records_;
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -70,7 +70,7 @@
 // a report that shows less than before is a copy, or comes from a worker that began a new session,
 // and what that one had is released like that of any silent machine.
 HeartbeatReply HeartbeatHandler::answer_unconfirmed(Machine& machine,
-                                                    const wire::Heartbeat& report) {
+                                                    const wire::Heartbeat& report) const {
   const std::pair position{report.incarnation, report.sequence};
   if (report.token < machine.token || position == machine.last_unconfirmed_heartbeat)
     return refusal();
@@ -93,7 +93,7 @@
 }
 
 std::vector<wire::Command> HeartbeatHandler::commands_for(Machine& machine,
-                                                          const wire::Heartbeat& report) {
+                                                          const wire::Heartbeat& report) const {
   std::vector<wire::Command> commands;
   std::set<TaskId> reported;
   const Ms now = context_.runtime.now();
@@ -129,7 +129,7 @@
 // Starts that the worker has not shown yet. In the answer to a heartbeat they need no guard against
 // late copies: the worker takes no answer that is older than a few seconds.
 void HeartbeatHandler::append_starts(Machine& machine, const std::set<TaskId>& reported,
-                                     std::vector<wire::Command>& commands) {
+                                     std::vector<wire::Command>& commands) const {
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task) || attempt->seen || !attempt->durable) continue;
     if (attempt->in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
--- a/src/leader/workers/heartbeat_handler.h
+++ b/src/leader/workers/heartbeat_handler.h
@@ -35,13 +35,14 @@
   [[nodiscard]] HeartbeatReply handle(const wire::Heartbeat& report);
 
  private:
-  [[nodiscard]] HeartbeatReply answer_unconfirmed(Machine& machine, const wire::Heartbeat& report);
+  [[nodiscard]] HeartbeatReply answer_unconfirmed(Machine& machine,
+                                                  const wire::Heartbeat& report) const;
   [[nodiscard]] bool may_forget(const Machine& machine, const wire::TaskStatus& task) const;
   [[nodiscard]] std::vector<wire::Command> commands_for(Machine& machine,
-                                                        const wire::Heartbeat& report);
+                                                        const wire::Heartbeat& report) const;
   [[nodiscard]] wire::Command stop_command(const TaskAttempt& attempt, net::Ms now) const;
   void append_starts(Machine& machine, const std::set<TaskId>& reported,
-                     std::vector<wire::Command>& commands);
+                     std::vector<wire::Command>& commands) const;
 
   LeaderContext context_;
   const JobTable& jobs_;
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -54,7 +54,7 @@
   if (any_missing) parts_.absence.verify(machine);
 }
 
-void HeartbeatReconciler::update_machine(Machine& machine, const wire::Heartbeat& report) {
+void HeartbeatReconciler::update_machine(Machine& machine, const wire::Heartbeat& report) const {
   if (report.incarnation > machine.incarnation) machine.replayable_starts.clear();
   machine.incarnation = report.incarnation;
   machine.sequence = report.sequence;
--- a/src/leader/workers/heartbeat_reconciler.h
+++ b/src/leader/workers/heartbeat_reconciler.h
@@ -42,7 +42,7 @@
   void reconcile(Machine& machine, const wire::Heartbeat& report, ReportSource source);
 
  private:
-  void update_machine(Machine& machine, const wire::Heartbeat& report);
+  void update_machine(Machine& machine, const wire::Heartbeat& report) const;
   TaskAttempt* adopt(Machine& machine, const AttemptId& id);
   void apply_exits(Machine& machine, const std::vector<const wire::TaskStatus*>& exited);
 
