--- a/src/rpc/peer.h
+++ b/src/rpc/peer.h
@@ -1,4 +1,7 @@
-// Messages between controllers as plain structures, and the transport that carries them.
+// The messages between controllers as plain structures, and the interface of what carries them.
+//
+// Every message goes one way and may be lost; a reply repeats the number of its request. Their
+// encoding is that of peer.capnp (peer_codec.h).
 #pragma once
 
 #include <cstdint>
@@ -11,37 +14,52 @@
 
 namespace seampass::rpc {
 
+// To the leader: the sender has accepted a job, which is in the state service.
 struct JobAccepted {
-  std::string id, record;
-  std::uint64_t version = 0;
+  std::string id;
+  std::string record;         // the value of the job's key
+  std::uint64_t version = 0;  // of that key
 };
 
+// To the leader: a user's status query, cancellation or (with a record) a submission that the
+// sender could not write itself.
 struct JobRequest {
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // chosen by the sender, which knows the reply by it
   std::string id;
   bool cancel = false;
   std::string record;  // not empty: accept this job
 };
 
-enum class Lookup { unavailable, found, not_found };
+// What a leader knows of a job. Its order is that of the schema's enum.
+enum class Lookup {
+  unavailable,  // the node does not lead, or can't tell now
+  found,
+  not_found  // no such job: a read of the state service said so
+};
 
+// The answer to a JobRequest.
 struct JobReply {
   std::uint64_t number = 0;
   Lookup lookup = Lookup::unavailable;
-  wire::JobStatus status;
-  bool fresh = false;
+  wire::JobStatus status;  // without the job's id, which is not sent
+  bool fresh = false;      // the submission created the job
 };
 
+// The sender leads with this epoch. A node that the state service does not answer learns it from
+// this message alone.
 struct LeaderAnnouncement {
-  std::uint64_t epoch = 0, round = 0;
+  std::uint64_t epoch = 0;
+  std::uint64_t round = 0;  // not 0: an EpochConfirmation is requested
 };
 
 // A round that belongs to no election: it is asked only for the version that the answer carries.
 inline constexpr std::uint64_t kVersionRound = std::numeric_limits<std::uint64_t>::max();
 
+// The answer to a LeaderAnnouncement with a round.
 struct EpochConfirmation {
-  std::uint64_t round = 0, epoch = 0;
-  std::int64_t up_ms = 0;
+  std::uint64_t round = 0;
+  std::uint64_t epoch = 0;  // the highest that the sender knows any node to have led with
+  std::int64_t up_ms = 0;   // for how long the sender's process has been up
 };
 
 using Message =
@@ -49,7 +67,7 @@
 
 // Versions of the program that peers tell apart. Each can serve beside the one before it.
 using PeerVersion = std::uint16_t;
-// Says no version; knows no dependencies between jobs and only the chunk layout of task records.
+// States no version; knows no dependencies between jobs and only the chunk layout of task records.
 inline constexpr PeerVersion kVersionUnsaid = 0;
 // Knows dependencies, and the segment layout of task records.
 inline constexpr PeerVersion kVersionSegments = 1;
@@ -63,13 +81,15 @@
 
 using Receive = std::function<void(const std::string& from, const Envelope&)>;
 
+// Carries messages to the other controllers, which it knows by their nodes' names.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
-  // Best effort, in order while a connection lasts.
+  // Best effort, in order while a connection lasts. Nothing is sent to an unknown node.
   virtual void send(const std::string& node, const Message& message) = 0;
-  // The link to a node seems stuck: give its connection up.
+  // Closes the connection to a node that seems stuck; the next message opens another.
   virtual void reset(const std::string& node) = 0;
+  // What is called with each message that arrives, from then on.
   virtual void on_receive(Receive receive) = 0;
 };
 
--- a/src/rpc/peer_link.h
+++ b/src/rpc/peer_link.h
@@ -1,47 +1,51 @@
-// Cap'n Proto messages over libuv sockets. Each node dials every other; what it dials it sends on,
-// what it accepts it reads from. The first message on a connection is the dialler's name.
+// The transport between controllers: Cap'n Proto messages over libuv sockets. Each node connects to
+// every other; on the connections that it has opened it sends, on those that it has accepted it
+// reads. The first frame on a connection is the name of the node that opened it.
+//
+// Owns the listener and all connections. An actor on its loop.
 #pragma once
 
 #include <map>
 #include <string>
-#include <unordered_set>
+#include <unordered_map>
 #include <vector>
 
 #include "config/settings.h"
 #include "net/loop.h"
 #include "rpc/peer.h"
+#include "rpc/peer_connections.h"
 
 namespace seampass::rpc {
 
-// With the version of this program.
-std::string encode(const Message& message);
-// Throws std::runtime_error on anything malformed.
-Envelope decode(const char* bytes, std::size_t size);
-
 class PeerLink : public PeerTransport {
  public:
   PeerLink(net::Loop& loop, std::string self, const std::vector<config::Peer>& peers);
   ~PeerLink() override;
+  PeerLink(const PeerLink&) = delete;
+  PeerLink& operator=(const PeerLink&) = delete;
+
+  // Throws std::runtime_error if the address can't be had.
   void listen(const std::string& endpoint);
   void send(const std::string& node, const Message& message) override;
   void reset(const std::string& node) override;
   void on_receive(Receive receive) override { receive_ = std::move(receive); }
 
  private:
-  struct Out;
-  struct In;
   struct Peer {
     std::string endpoint;
-    Out* out = nullptr;
-    net::Ms retry_at = 0;
+    Owned<OutgoingConnection> connection;
+    net::Ms retry_at = 0;  // no connection is opened before then
   };
-  void dial(const std::string& node, Peer& peer);
+  void connect(Peer& peer);
+  void drop_connection(Peer& peer);
+  void accept();
+  IncomingConnection* add_incoming();
 
   net::Loop& loop_;
   std::string self_;
   std::map<std::string, Peer> peers_;
-  std::unordered_set<In*> ins_;
-  uv_tcp_t* listener_;
+  std::unordered_map<IncomingConnection*, Owned<IncomingConnection>> incoming_;
+  uv_tcp_t* listener_;  // freed by the loop once it is closed
   Receive receive_;
 };
 
--- a/tests/formats_peers_test.cc
+++ b/tests/formats_peers_test.cc
@@ -5,7 +5,7 @@
 // versions no longer understand each other.
 #include <gtest/gtest.h>
 
-#include "rpc/peer_link.h"
+#include "rpc/peer_codec.h"
 
 namespace seampass {
 namespace {
@@ -31,7 +31,7 @@
 template <typename M>
 M read_back(const std::string& hex) {
   const std::string bytes = bytes_from(hex);
-  const rpc::Envelope envelope = rpc::decode(bytes.data(), bytes.size());
+  const rpc::Envelope envelope = rpc::decode(bytes);
   EXPECT_EQ(envelope.version, 1U);
   EXPECT_EQ(hex_from(rpc::encode(envelope.message)), hex);
   return std::get<M>(envelope.message);
--- a/tests/rpc_test.cc
+++ b/tests/rpc_test.cc
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "rpc/peer_link.h"
+#include "rpc/peer_codec.h"
 
 namespace seampass::rpc {
 namespace {
@@ -22,7 +22,7 @@
   const auto list = samples();
   const auto back = [](const Message& m) {
     const std::string s = encode(m);
-    return decode(s.data(), s.size()).message;
+    return decode(s).message;
   };
   const auto accepted = std::get<JobAccepted>(back(list[0]));
   EXPECT_EQ(accepted.id, "wk-1");
@@ -51,7 +51,7 @@
         s[random() % s.size()] = static_cast<char>(random());
       if (random() % 5 == 0) s.resize(random() % (s.size() + 1));
       try {
-        decode(s.data(), s.size());
+        decode(s);
       } catch (const std::runtime_error&) {
         ++refused;
       }
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -9,7 +9,7 @@
 #include "fakes/production_peer.capnp.h"
 #include "fakes/world.h"
 #include "leader/records/task_record.h"
-#include "rpc/peer_link.h"
+#include "rpc/peer_codec.h"
 
 namespace seampass::fakes {
 namespace {
@@ -62,7 +62,7 @@
 TEST(Upgrade, MessagesOfProductionAreRead) {
   const auto read = [](std::size_t i) {
     const std::string bytes = bytes_from(kProductionFrames.at(i));
-    const rpc::Envelope envelope = rpc::decode(bytes.data(), bytes.size());
+    const rpc::Envelope envelope = rpc::decode(bytes);
     EXPECT_EQ(envelope.version, rpc::kVersionUnsaid);
     return envelope.message;
   };
