--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -10,6 +10,7 @@
 #include <iostream>
 
 #include "app/node.h"
+#include "app/resource_budget.h"
 #include "config/settings.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
@@ -20,7 +21,11 @@
 
 using namespace seampass;
 
-constexpr int kBadSettings = 2;
+constexpr int kBadSettings = 2;  // exit status
+// Workers' connections last from one heartbeat to the next.
+constexpr const char* kHeartbeatPath = "/checkin";
+// A request that takes longer than so many heartbeat intervals to arrive is cut off.
+constexpr double kSlowRequestIntervals = 3;
 
 void set_up_logging() {
   auto logger = spdlog::stderr_logger_st("seampass");
@@ -33,29 +38,32 @@
   spdlog::set_default_logger(std::move(logger));
 }
 
+net::ServerLimits server_limits(const config::Settings& settings,
+                                const app::ResourceBudget& budget) {
+  net::ServerLimits limits;
+  limits.max_connections = budget.server_connections;
+  limits.lasting_path = kHeartbeatPath;
+  limits.idle = net::ms(settings.lease_s);
+  limits.slow = net::ms(settings.heartbeat_interval_s * kSlowRequestIntervals);
+  return limits;
+}
+
 int serve(const config::Settings& settings, const config::OperatorSettings& operator_settings) {
   std::signal(SIGPIPE, SIG_IGN);
   net::Loop loop;
-  // Sockets: a sixteenth for idle connections that this node dialled, another for commands on their
-  // way (in Node), a thirty-second for peers, state service, cloud and files; the rest for those
-  // who come, of whom workers stay and idle users make room.
-  const auto sockets = static_cast<std::size_t>(settings.fd_limit);
-  net::HttpClient http(loop, sockets / 16);
+  const app::ResourceBudget budget = app::ResourceBudget::for_settings(settings);
+  net::HttpClient http(loop, budget.idle_client_connections);
   rpc::PeerLink peers(loop, settings.node, settings.peers);
   app::Node node(loop, http, peers, settings, operator_settings);
-  net::ServerLimits limits;
-  limits.max_connections = sockets - sockets / 8 - sockets / 32;
-  limits.lasting_path = "/checkin";
-  limits.idle = net::ms(settings.lease_s);
-  limits.slow = net::ms(settings.heartbeat_interval_s * 3);
-  net::HttpServer server(loop, limits, [&node](const net::Request& r, net::Answer answer) {
-    node.handle(r, std::move(answer));
-  });
+  net::HttpServer server(loop, server_limits(settings, budget),
+                         [&node](const net::Request& request, net::Answer answer) {
+                           node.handle(request, std::move(answer));
+                         });
   try {
     peers.listen(settings.back);
     server.listen(settings.listen);
-  } catch (const std::exception& e) {
-    spdlog::error("{}", e.what());
+  } catch (const std::exception& error) {
+    spdlog::error("{}", error.what());
     return 1;
   }
   spdlog::info("{} in {} listens on {}", settings.node, settings.zone, settings.listen);
@@ -77,16 +85,16 @@
   cli.add_flag("--check", check, "check the settings and exit");
   try {
     cli.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return cli.exit(e) == 0 ? 0 : kBadSettings;
+  } catch (const CLI::ParseError& error) {
+    return cli.exit(error) == 0 ? 0 : kBadSettings;
   }
   config::Settings settings;
   config::OperatorSettings operator_settings;
   try {
     settings = config::load_settings(config_file);
     if (!operator_file.empty()) operator_settings = config::load_operator(operator_file);
-  } catch (const config::BadSettings& e) {
-    std::cerr << "seampass: " << e.what() << "\n";
+  } catch (const config::BadSettings& error) {
+    std::cerr << "seampass: " << error.what() << "\n";
     return kBadSettings;
   }
   if (check) {
--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -9,21 +9,38 @@
 
 namespace {
 
-// A node's share of the state service's limits. The leader makes nearly all changes; what the
-// others make, and what is refused now and then, fits into the rest.
-constexpr double kStoreRequests = 0.7;
-constexpr double kStoreChanges = 0.8;
+// Parts of a heartbeat interval, as divisors.
+constexpr double kRequestTimeoutPart = 3;  // for the state service and workers
+constexpr double kCatalogRetryPart = 2;
+constexpr double kVersionRetryPart = 10;
+constexpr double kExtensionMarginPart = 3;
+// The cloud is slow to answer, and slower the lower its rate: so many requests' time at least.
+constexpr double kCloudTimeoutRequests = 8;
+// Parts and multiples of a worker's lease.
+constexpr double kElectionTtlPart = 6;
+constexpr double kBetweenResignations = 2;
+constexpr double kCatalogRefresh = 2;
 
-leader::ElectionTimes times_of(const config::Settings& s) {
-  // A sixth of a worker's lease: a failover leaves workers most of theirs. The extension ends a
-  // third of a heartbeat interval before its bound.
-  return {.ttl = ms(s.lease_s / 6),
-          .lease_extension = ms(s.cancel_s - s.lease_s - s.heartbeat_interval_s / 3),
-          .between_resignations = ms(2 * s.lease_s)};
+leader::ElectionTimes election_times(const config::Settings& settings) {
+  // A small part of a worker's lease: a failover leaves workers most of theirs. The extension ends
+  // a margin before its bound.
+  return {.ttl = ms(settings.lease_s / kElectionTtlPart),
+          .lease_extension = ms(settings.cancel_s - settings.lease_s -
+                                settings.heartbeat_interval_s / kExtensionMarginPart),
+          .between_resignations = ms(kBetweenResignations * settings.lease_s)};
 }
 
-leader::RecordSpans spans_of(const config::Settings& s) {
-  return leader::RecordSpans::for_values(s.state_limits.value_kb, s.least_state_limits().value_kb);
+leader::RecordSpans record_spans(const config::Settings& settings) {
+  return leader::RecordSpans::for_values(settings.state_limits.value_kb,
+                                         settings.least_state_limits().value_kb);
+}
+
+net::Ms request_timeout(const config::Settings& settings) {
+  return ms(settings.heartbeat_interval_s / kRequestTimeoutPart);
+}
+
+net::Ms cloud_timeout(const config::Settings& settings) {
+  return ms(std::max(settings.heartbeat_interval_s, kCloudTimeoutRequests / settings.cloud_rps));
 }
 
 }  // namespace
@@ -32,34 +49,38 @@
            config::Settings settings, config::OperatorSettings operator_settings)
     : settings_(std::move(settings)),
       operator_settings_(std::move(operator_settings)),
-      state_(runtime, http, settings_.state, settings_.least_state_limits().rps * kStoreRequests,
-             settings_.least_state_limits().write_rps * kStoreChanges,
-             ms(settings_.heartbeat_interval_s / 3)),
-      cloud_(runtime, http, settings_.cloud, settings_.cloud_rps * 0.7,
-             ms(std::max(settings_.heartbeat_interval_s, 8 / settings_.cloud_rps))),
-      catalog_(runtime, cloud_, ms(settings_.lease_s * 2), ms(settings_.heartbeat_interval_s / 2)),
-      // A few hundred bytes a final status: an eighth of the memory at most.
-      status_reader_(state_, static_cast<std::size_t>(settings_.memory_mb / 8 * 1024 * 1024 / 512)),
-      election_(runtime, state_, settings_.node, settings_.peers.size(), times_of(settings_),
-                {.on_elected = [this] { controller_.start_term(); },
-                 .on_step_down = [this] { controller_.end_term(); },
-                 .announce = [this, &peers](std::uint64_t round) { announce(peers, round); }}),
-      cluster_(runtime, state_, settings_.peers, spans_of(settings_),
-               ms(settings_.heartbeat_interval_s / 10)),
+      budget_(ResourceBudget::for_settings(settings_)),
+      peers_(peers),
+      state_(runtime, http, settings_.state, budget_.state_requests, budget_.state_changes,
+             request_timeout(settings_)),
+      cloud_(runtime, http, settings_.cloud, budget_.cloud_requests, cloud_timeout(settings_)),
+      catalog_(runtime, cloud_, ms(settings_.lease_s * kCatalogRefresh),
+               ms(settings_.heartbeat_interval_s / kCatalogRetryPart)),
+      status_reader_(state_, budget_.cached_final_statuses),
+      election_(runtime, state_, settings_.node, settings_.peers.size(), election_times(settings_),
+                election_callbacks()),
+      cluster_(runtime, state_, settings_.peers, record_spans(settings_),
+               ms(settings_.heartbeat_interval_s / kVersionRetryPart)),
       controller_(runtime, state_, cloud_, catalog_,
-                  workers::Client(http, ms(settings_.heartbeat_interval_s / 3),
-                                  static_cast<std::size_t>(settings_.fd_limit) / 16),
+                  workers::Client(http, request_timeout(settings_), budget_.commands_in_flight),
                   election_, status_reader_, cluster_, settings_, operator_settings_),
       api_(runtime, state_, catalog_, election_, controller_, status_reader_, cluster_, peers,
            settings_) {}
 
-void Node::announce(rpc::PeerTransport& peers, std::uint64_t round) {
-  for (const config::Peer& p : settings_.peers) {
-    // Its answer says its version; no round of the election has this number.
+// They are called only after start(), when all parts are there.
+leader::ElectionCallbacks Node::election_callbacks() {
+  return {.on_elected = [this] { controller_.start_term(); },
+          .on_step_down = [this] { controller_.end_term(); },
+          .announce = [this](std::uint64_t round) { announce_leadership(round); }};
+}
+
+void Node::announce_leadership(std::uint64_t round) {
+  for (const config::Peer& peer : settings_.peers) {
+    // The answer to any round states the peer's version; no round of the election has this number.
     const bool ask_version =
-        round == 0 && !cluster_.finalized() && !cluster_.knows_segments(p.node);
-    peers.send(p.node, rpc::LeaderAnnouncement{election_.epoch(),
-                                               ask_version ? rpc::kVersionRound : round});
+        round == 0 && !cluster_.finalized() && !cluster_.knows_segments(peer.node);
+    peers_.send(peer.node, rpc::LeaderAnnouncement{election_.epoch(),
+                                                   ask_version ? rpc::kVersionRound : round});
   }
 }
 
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -1,6 +1,8 @@
-// One controller, wired: every actor over an injected clock and injected transports.
+// One controller, wired: every actor over an injected clock and injected transports, which must
+// outlive it. Owns the actors and the settings that they refer to.
 #pragma once
 
+#include "app/resource_budget.h"
 #include "cloud/client.h"
 #include "cloud/machine_catalog.h"
 #include "config/settings.h"
@@ -20,18 +22,23 @@
   Node(net::Runtime& runtime, net::HttpCaller& http, rpc::PeerTransport& peers,
        config::Settings settings, config::OperatorSettings operator_settings);
 
+  // Begins to read the catalog and to take part in the election. Requests may come before.
   void start();
   void handle(const net::Request& request, net::Answer answer) {
     api_.handle(request, std::move(answer));
   }
-  const leader::Election& election() const { return election_; }
+  [[nodiscard]] const leader::Election& election() const { return election_; }
 
  private:
-  // Tells all peers that this node leads.
-  void announce(rpc::PeerTransport& peers, std::uint64_t round);
+  leader::ElectionCallbacks election_callbacks();
+  // Announces to all peers that this node leads; with a round other than 0, asks them to confirm
+  // it.
+  void announce_leadership(std::uint64_t round);
 
   config::Settings settings_;
   config::OperatorSettings operator_settings_;
+  ResourceBudget budget_;
+  rpc::PeerTransport& peers_;
   state::Client state_;
   cloud::Client cloud_;
   cloud::MachineCatalog catalog_;
--- /dev/null
+++ b/tests/resource_budget_test.cc
@@ -0,0 +1,48 @@
+// app::ResourceBudget: how a node divides sockets, memory and rates.
+#include "app/resource_budget.h"
+
+#include <gtest/gtest.h>
+
+namespace seampass::app {
+namespace {
+
+config::Settings settings_with_sockets(int fd_limit) {
+  config::Settings settings;
+  settings.fd_limit = fd_limit;
+  settings.memory_mb = 64;
+  settings.state_limits = {100, 50, 8, 16};
+  settings.next_state_limits = {60, 80, 8, 16};
+  settings.cloud_rps = 10;
+  return settings;
+}
+
+TEST(ResourceBudget, LeavesMostSocketsForThoseWhoConnect) {
+  const auto budget = ResourceBudget::for_settings(settings_with_sockets(1024));
+  EXPECT_EQ(budget.idle_client_connections, 64U);
+  EXPECT_EQ(budget.commands_in_flight, 64U);
+  EXPECT_EQ(budget.server_connections, 1024U - 128U - 32U);
+}
+
+TEST(ResourceBudget, NeverDividesMoreSocketsThanThereAre) {
+  for (int sockets = 32; sockets < 2000; ++sockets) {
+    const auto budget = ResourceBudget::for_settings(settings_with_sockets(sockets));
+    EXPECT_LT(
+        budget.idle_client_connections + budget.commands_in_flight + budget.server_connections,
+        static_cast<std::size_t>(sockets));
+  }
+}
+
+TEST(ResourceBudget, TakesAShareOfTheLowerLimits) {
+  const auto budget = ResourceBudget::for_settings(settings_with_sockets(1024));
+  EXPECT_DOUBLE_EQ(budget.state_requests, 42);
+  EXPECT_DOUBLE_EQ(budget.state_changes, 40);
+  EXPECT_DOUBLE_EQ(budget.cloud_requests, 7);
+}
+
+TEST(ResourceBudget, CachesFinalStatusesInAnEighthOfTheMemory) {
+  const auto budget = ResourceBudget::for_settings(settings_with_sockets(1024));
+  EXPECT_EQ(budget.cached_final_statuses, 16384U);
+}
+
+}  // namespace
+}  // namespace seampass::app
