--- a/tests/peer_compatibility_test.cc
+++ b/tests/peer_compatibility_test.cc
@@ -6,7 +6,7 @@
 #include <cstring>
 
 #include "fakes/production_peer.capnp.h"
-#include "rpc/peer_link.h"
+#include "rpc/peer_codec.h"
 
 namespace seampass::fakes {
 namespace {
@@ -35,7 +35,7 @@
 TEST(PeerCompatibility, MessagesOfProductionAreRead) {
   const auto read = [](std::size_t i) {
     const std::string bytes = bytes_from(kProductionFrames.at(i));
-    const rpc::Envelope envelope = rpc::decode(bytes.data(), bytes.size());
+    const rpc::Envelope envelope = rpc::decode(bytes);
     EXPECT_EQ(envelope.version, rpc::kVersionUnsaid);
     return envelope.message;
   };
