--- a/tests/fault_combinations_test.cc
+++ b/tests/fault_combinations_test.cc
@@ -1,5 +1,5 @@
 // Two or three faults at once. Each test brings a combination about and fails when its guard is
-// taken out; docs/architecture.md has the table. In simulated time, against our own fakes.
+// taken out; docs/safety.md has the table. In simulated time, against our own fakes.
 #include <gtest/gtest.h>
 
 #include "fakes/calls.h"
@@ -20,21 +20,23 @@
   enum class Peers { connected, separated } peers = Peers::connected;
 };
 
-// As a part of the test's name, such as ReplyLost15msStopsLostPeersSeparated.
-std::string name_of(const ::testing::TestParamInfo<RefusalThenOutage>& info) {
-  const RefusalThenOutage& way = info.param;
-  std::string name = "ReplyReceived";
-  if (way.reply == RefusalThenOutage::Reply::lost) name = "ReplyLost";
-  if (way.reply == RefusalThenOutage::Reply::late) name = "ReplyLate";
-  name += "Refused" + std::to_string(way.refused_after) + "ms";
-  if (way.stops == RefusalThenOutage::Stops::lost) name += "StopsLost";
-  if (way.hang > 0) name += "Hang" + std::to_string(way.hang) + "ms";
-  if (way.peers == RefusalThenOutage::Peers::separated) name += "PeersSeparated";
-  return name;
-}
-
+// As a part of the case's name, such as ReplyLostRefused15msStopsLostPeersSeparated.
 std::ostream& operator<<(std::ostream& out, const RefusalThenOutage& way) {
-  return out << name_of({way, 0});
+  switch (way.reply) {
+    case RefusalThenOutage::Reply::received:
+      out << "ReplyReceived";
+      break;
+    case RefusalThenOutage::Reply::lost:
+      out << "ReplyLost";
+      break;
+    case RefusalThenOutage::Reply::late:
+      out << "ReplyLate";
+  }
+  out << "Refused" << way.refused_after << "ms";
+  if (way.stops == RefusalThenOutage::Stops::lost) out << "StopsLost";
+  if (way.hang > 0) out << "Hang" << way.hang << "ms";
+  if (way.peers == RefusalThenOutage::Peers::separated) out << "PeersSeparated";
+  return out;
 }
 
 class FaultCombinations : public ::testing::TestWithParam<RefusalThenOutage> {
@@ -165,7 +167,7 @@
   return all;
 }
 
-INSTANTIATE_TEST_SUITE_P(Ways, FaultCombinations, ::testing::ValuesIn(ways()), name_of);
+INSTANTIATE_TEST_SUITE_P(Ways, FaultCombinations, ::testing::ValuesIn(ways()));
 
 // The former leader's last act is to confirm a cancellation; its stops are lost. The next one is
 // elected, and the store is down for all before it has listed anything: no worker may be kept at
--- a/tests/formats_answers_test.cc
+++ b/tests/formats_answers_test.cc
@@ -8,6 +8,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <utility>
+
 #include "fakes/simulated_cluster.h"
 #include "net/http_server.h"
 
@@ -17,8 +19,12 @@
 // One of three controllers; the others never answer.
 struct LoneNode {
   LoneNode() {
-    net.serve("state:1", [this](const net::Request& r, net::Answer a) { state.handle(r, a); });
-    net.serve("cloud:1", [this](const net::Request& r, net::Answer a) { cloud.handle(r, a); });
+    net.serve("state:1", [this](const net::Request& request, net::Answer answer) {
+      state.handle(request, std::move(answer));
+    });
+    net.serve("cloud:1", [this](const net::Request& request, const net::Answer& answer) {
+      cloud.handle(request, answer);
+    });
   }
   // Starts it and waits until it leads and knows the machine types.
   void lead() {
@@ -192,7 +198,7 @@
 // On the first port that is free.
 std::string listen_somewhere(net::HttpServer& server) {
   for (int port = 23000;; ++port) {
-    const std::string endpoint = "127.0.0.1:" + std::to_string(port);
+    std::string endpoint = "127.0.0.1:" + std::to_string(port);
     try {
       server.listen(endpoint);
       return endpoint;
