--- a/tests/leader_parts_test.cc
+++ b/tests/leader_parts_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "cloud/client.h"
-#include "fakes/sim.h"
+#include "fakes/sim_net.h"
 #include "leader/attempts/absence_verifier.h"
 #include "leader/workers/heartbeat_reconciler.h"
 
--- a/tests/request_queue_test.cc
+++ b/tests/request_queue_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "fakes/sim.h"
+#include "fakes/sim_net.h"
 
 namespace seampass::state {
 namespace {
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <random>
 
-#include "fakes/sim.h"
+#include "fakes/sim_net.h"
 #include "leader/fleet/machine_reclaimer.h"
 #include "leader/scheduling/headroom_estimator.h"
 #include "leader/scheduling/snapshot_builder.h"
