--- a/src/sched/consolidation.cc
+++ b/src/sched/consolidation.cc
@@ -65,13 +65,13 @@
       if (machine.type != from.type || (machine.spot && !task.spot)) continue;
       if (!machine.images.contains(task.image)) continue;
       const auto taken = left.find(target);
-      if (task.request.fits_in(taken == left.end() ? free_room(target) : taken->second))
-        return target;
+      const Resources& free = taken == left.end() ? free_room(target) : taken->second;
+      if (task.request.fits_in(free)) return target;
     }
     return std::nullopt;
   }
 
-  [[nodiscard]] Resources free_room(std::size_t machine) const {
+  [[nodiscard]] const Resources& free_room(std::size_t machine) const {
     const auto entry = free_.find(machine);
     return entry == free_.end() ? machines_[machine].free : entry->second;
   }
