--- a/src/leader/scheduling/sources.h
+++ b/src/leader/scheduling/sources.h
@@ -14,7 +14,7 @@
 
 struct SchedulingSources {
   net::Runtime& runtime;
-  const JobTable& jobs;  // decisions are made in the order of its keys
+  const JobTable& jobs;  // decisions are made in the order of their ids
   const AttemptTracker& attempts;
   const sched::DependencyGraph& dependencies;
   const cloud::MachineCatalog& catalog;
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -40,17 +40,17 @@
   }
 
   JobRecord& add_job(const std::string& id, std::uint32_t tasks) {
-    auto job = std::make_unique<JobRecord>();
-    job->spec.id = id;
-    job->spec.job_class = "interactive";
-    job->spec.tasks = tasks;
-    job->spec.cpus = 1;
-    job->spec.estimate_s = 60;
-    job->ready_ms = job->created_ms = time.wall();
-    job->claimed.assign(tasks, false);
-    job->finished.assign(tasks, false);
-    dependencies.add(id, job->spec.priority, {});
-    return *jobs.emplace(id, std::move(job)).first->second;
+    JobRecord job;
+    job.spec.id = id;
+    job.spec.job_class = "interactive";
+    job.spec.tasks = tasks;
+    job.spec.cpus = 1;
+    job.spec.estimate_s = 60;
+    job.ready_ms = job.created_ms = time.wall();
+    job.claimed.assign(tasks, false);
+    job.finished.assign(tasks, false);
+    dependencies.add(id, job.spec.priority, {});
+    return jobs.add(std::move(job));
   }
   // Up, and heard so long ago.
   static Machine& add_machine(MachineInventory::Map& machines, const std::string& name,
@@ -71,7 +71,7 @@
   CloudFake http;
   cloud::Client cloud{time, http, "cloud", 1000, 1000};
   cloud::MachineCatalog catalog{time, cloud, 1'000'000'000, 1000};
-  JobMap jobs;
+  JobTable jobs;
   AttemptTracker attempts{time};
   sched::DependencyGraph dependencies;
   SchedulingSources sources{time,    jobs,     attempts,         dependencies,
