--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -31,7 +31,7 @@
   auto logger = spdlog::stderr_logger_st("seampass");
   logger->set_pattern("%H:%M:%S.%e %l %v");
   const char* level = std::getenv("LOG_LEVEL");
-  const std::string name = level ? level : "info";
+  const std::string name = level != nullptr ? level : "info";
   logger->set_level(name == "debug"   ? spdlog::level::debug
                     : name == "error" ? spdlog::level::err
                                       : spdlog::level::info);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,7 @@
 // HTTP/1.1 server over libuv: bounded connections, bodies and waits.
+//
+// Owns its connections, on which the loop calls back, and passes each complete request to its
+// handler.
 #pragma once
 
 #include <array>
@@ -21,7 +24,7 @@
   int status = 200;
   std::string body;
   int retry_after_s = 0;  // 0: no such header
-  // Whoever asked has little use for the connection: where they are scarce it is closed first.
+  // The client has little use for the connection: where they are scarce it is closed first.
   bool may_close = false;
 };
 
@@ -46,29 +49,33 @@
   ~HttpServer();
   // Throws std::runtime_error when the address can't be had.
   void listen(const std::string& endpoint);
-  std::size_t connections() const { return conns_.size(); }
+  [[nodiscard]] std::size_t connections() const { return connections_.size(); }
 
  private:
-  struct Conn;
+  struct Connection;
   friend struct ServerParser;
   void accept();
   void sweep();
-  void answer(std::uint64_t id, const Response& r);
+  void answer(std::uint64_t id, const Response& response);
+  // False if the connection is broken.
+  [[nodiscard]] bool write(Connection& connection, const Response& response);
+  void await_next_request(Connection* connection);
 
   // Connections without a request on its way, longest idle first. A fresh one has not asked yet.
   enum Idle { user, lasting, fresh, busy };
-  void park(Conn* conn, Idle where);
+  void park(Connection* connection, Idle where);
   // Closes one of them for a newcomer; false if there is none.
-  bool make_room();
-  bool crowded(const Response& response) const;
+  [[nodiscard]] bool make_room();
+  // So near the bound that a lasting connection is closed with this answer.
+  [[nodiscard]] bool crowded(const Response& response) const;
 
   Loop& loop_;
   ServerLimits limits_;
   Handler handler_;
   uv_tcp_t* listener_;
   std::uint64_t next_ = 1;
-  std::unordered_map<std::uint64_t, Conn*> conns_;
-  std::array<std::list<Conn*>, 3> idle_;
+  std::unordered_map<std::uint64_t, Connection*> connections_;
+  std::array<std::list<Connection*>, 3> idle_;
   // Bytes are consumed before the next read, so that all connections share one buffer.
   std::array<char, 32U << 10> buffer_;
 };
--- a/src/net/loop.cc
+++ b/src/net/loop.cc
@@ -6,6 +6,15 @@
 
 namespace seampass::net {
 
+namespace {
+
+constexpr std::uint64_t kNanosecondsPerMs = 1'000'000;
+constexpr int kMaxPort = 65535;
+constexpr std::size_t kMaxPortDigits = 5;
+constexpr int kDecimalBase = 10;
+
+}  // namespace
+
 struct Loop::Timer {
   uv_timer_t handle;
   Loop* loop;
@@ -22,8 +31,8 @@
 }
 
 // Not uv_now: that is the time at which the loop last woke, which is long ago after a long callback
-// or after the process stood still.
-Ms Loop::now() const { return static_cast<Ms>(uv_hrtime() / 1000000); }
+// or after the process was suspended.
+Ms Loop::now() const { return static_cast<Ms>(uv_hrtime() / kNanosecondsPerMs); }
 
 Ms Loop::wall() const {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -32,51 +41,52 @@
 }
 
 TimerId Loop::after(Ms delay, std::function<void()> then) {
-  auto* t = new Timer{{}, this, next_++, std::move(then)};
-  uv_timer_init(&loop_, &t->handle);
-  t->handle.data = t;
-  timers_[t->id] = t;
+  auto* timer = new Timer{{}, this, next_++, std::move(then)};
+  uv_timer_init(&loop_, &timer->handle);
+  timer->handle.data = timer;
+  timers_[timer->id] = timer;
   // libuv counts from the time it last read. Without the difference a timer set late in a long turn
   // of the loop would fire early, and answers would look overdue before they could have come.
   const Ms behind = std::max<Ms>(0, now() - static_cast<Ms>(uv_now(&loop_)));
   uv_timer_start(
-      &t->handle,
-      [](uv_timer_t* h) {
-        auto* timer = static_cast<Timer*>(h->data);
-        const auto run = std::move(timer->then);
-        timer->loop->cancel(timer->id);
-        run();
+      &timer->handle,
+      [](uv_timer_t* handle) {
+        auto* expired = static_cast<Timer*>(handle->data);
+        const auto then = std::move(expired->then);
+        expired->loop->cancel(expired->id);
+        then();
       },
       static_cast<std::uint64_t>(std::max<Ms>(0, delay) + behind), 0);
-  return t->id;
+  return timer->id;
 }
 
 void Loop::cancel(TimerId id) {
   const auto it = timers_.find(id);
   if (it == timers_.end()) return;
-  Timer* t = it->second;
+  Timer* timer = it->second;
   timers_.erase(it);
-  uv_timer_stop(&t->handle);
-  uv_close(reinterpret_cast<uv_handle_t*>(&t->handle),
-           [](uv_handle_t* h) { delete static_cast<Timer*>(h->data); });
+  uv_timer_stop(&timer->handle);
+  uv_close(reinterpret_cast<uv_handle_t*>(&timer->handle),
+           [](uv_handle_t* handle) { delete static_cast<Timer*>(handle->data); });
 }
 
 void Loop::run() { uv_run(&loop_, UV_RUN_DEFAULT); }
 
 sockaddr_in parse_endpoint(const std::string& endpoint) {
   const auto colon = endpoint.rfind(':');
-  sockaddr_in addr{};
-  if (colon == std::string::npos || colon + 1 >= endpoint.size() || endpoint.size() - colon > 6)
+  sockaddr_in address{};
+  if (colon == std::string::npos || colon + 1 >= endpoint.size() ||
+      endpoint.size() - colon > kMaxPortDigits + 1)
     throw std::invalid_argument("bad endpoint " + endpoint);
   int port = 0;
   for (std::size_t i = colon + 1; i < endpoint.size(); ++i) {
     if (endpoint[i] < '0' || endpoint[i] > '9')
       throw std::invalid_argument("bad endpoint " + endpoint);
-    port = port * 10 + (endpoint[i] - '0');
+    port = port * kDecimalBase + (endpoint[i] - '0');
   }
-  if (port > 65535 || uv_ip4_addr(endpoint.substr(0, colon).c_str(), port, &addr) != 0)
+  if (port > kMaxPort || uv_ip4_addr(endpoint.substr(0, colon).c_str(), port, &address) != 0)
     throw std::invalid_argument("bad endpoint " + endpoint);
-  return addr;
+  return address;
 }
 
 }  // namespace seampass::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,5 @@
-// The libuv loop as a Runtime.
+// The libuv loop as a Runtime. Owns the loop and its timers; the only thread of a controller runs
+// it.
 #pragma once
 
 #include <uv.h>
@@ -17,12 +18,13 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  Ms now() const override;
-  Ms wall() const override;
+  [[nodiscard]] Ms now() const override;
+  [[nodiscard]] Ms wall() const override;
   TimerId after(Ms delay, std::function<void()> then) override;
   void cancel(TimerId id) override;
 
   uv_loop_t* raw() { return &loop_; }
+  // Until nothing is left to wait for.
   void run();
 
  private:
@@ -33,6 +35,6 @@
 };
 
 // "ADDRESS:PORT" as libuv wants it; throws std::invalid_argument.
-sockaddr_in parse_endpoint(const std::string& endpoint);
+[[nodiscard]] sockaddr_in parse_endpoint(const std::string& endpoint);
 
 }  // namespace seampass::net
--- a/src/rpc/peer_connections.cc
+++ b/src/rpc/peer_connections.cc
@@ -7,6 +7,7 @@
 namespace {
 
 constexpr std::size_t kMaxQueuedBytes = 1U << 20;
+constexpr std::size_t kDiscardedBytes = 64;  // read at once where nothing is expected
 
 // A write on its way; libuv needs both until it has been made.
 struct WriteRequest {
@@ -43,7 +44,7 @@
   uv_read_start(
       stream(),
       [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-        static std::array<char, 64> sink;
+        static std::array<char, kDiscardedBytes> sink;
         *buffer = uv_buf_init(sink.data(), sink.size());
       },
       [](uv_stream_t* stream, ssize_t size, const uv_buf_t*) {
