--- a/tests/leader_parts_test.cc
+++ b/tests/leader_parts_test.cc
@@ -93,8 +93,12 @@
   cloud::MachineCatalog catalog{process, cloud, 1000, 1000};
   config::Settings settings;
   config::OperatorSettings operator_settings;
-  Election election{process, state, "n0", {1000, 1000, 1000},
-                    [] {},   [] {}, 0,    [](std::uint64_t) {}};
+  Election election{process,
+                    state,
+                    "n0",
+                    0,
+                    {1000, 1000, 1000},
+                    {.on_elected = [] {}, .on_step_down = [] {}, .announce = [](std::uint64_t) {}}};
   TermState term{election};
   LeaderContext context{process, election, term, settings};
   workers::Client workers{http, 500, 4};
