--- a/src/leader/attempts/attempt_tracker.h
+++ b/src/leader/attempts/attempt_tracker.h
@@ -1,5 +1,5 @@
 // The attempts that take up room: which task is on which machine, what each team uses, and what
-// proves that an attempt is off its machine (docs/architecture.md, "Off").
+// proves that an attempt is off its machine (docs/safety.md, "Off").
 //
 // Owns each team's usage. Attempts belong to their JobRecord and are linked from their Machine;
 // this class alone adds and removes them, so that the three agree. Called on the loop's thread.
--- a/src/leader/audit_log.h
+++ b/src/leader/audit_log.h
@@ -26,7 +26,7 @@
   fenced,
   resigned
 };
-// What proves that an attempt is off its machine (docs/architecture.md, "Off").
+// What proves that an attempt is off its machine (docs/safety.md, "Off").
 enum class AbsenceProof { reported_ended, inspected, machine_deleted, lease_expired, never_sent };
 // Why an attempt is to stop.
 enum class StopReason { job_over, gang_incomplete, room_needed, machine_leaving, not_wanted };
--- a/src/leader/election/election.h
+++ b/src/leader/election/election.h
@@ -29,7 +29,7 @@
   net::Ms ttl = 0;
   // For how long after the last good renewal was sent heartbeats may still be answered without a
   // lease: shorter than cancel_s - lease_s, so that a cancellation answered under the next leader
-  // holds whatever a worker without a connection to it does (see docs/architecture.md).
+  // holds whatever a worker without a connection to it does (see docs/safety.md).
   net::Ms lease_extension = 0;
   // From one resignation of this node to its next.
   net::Ms between_resignations = 0;
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -25,7 +25,7 @@
 struct JobRecord;
 
 // One attempt of one task on one machine, from its durable record until it is known to be off
-// (docs/architecture.md, "Off").
+// (docs/safety.md, "Off").
 struct TaskAttempt {
   JobRecord* job = nullptr;
   std::uint32_t task = 0;
--- a/src/leader/records/keys.h
+++ b/src/leader/records/keys.h
@@ -1,5 +1,5 @@
 // The keys of everything that the controllers store in the state service, and the one place that
-// makes and parses them. Every version of the program shares these forms (docs/architecture.md).
+// makes and parses them. Every version of the program shares these forms (docs/storage.md).
 //
 //   leader               who leads; the version of its creation is the leader's epoch
 //   cluster              what all controllers are known to read (cluster_version.h)
--- a/src/sched/cluster_snapshot.cc
+++ b/src/sched/cluster_snapshot.cc
@@ -6,12 +6,12 @@
 namespace seampass::sched {
 
 std::uint32_t TeamView::allows(const Resources& request) const {
-  constexpr double kSlack = 1e-6;  // use is a sum of decimal fractions
+  constexpr double slack = 1e-6;  // use is a sum of decimal fractions
   double tasks = wire::kMaxTasks;
   if (cpus_max && request.cpus > 0)
-    tasks = std::min(tasks, (*cpus_max - cpus + kSlack) / request.cpus);
+    tasks = std::min(tasks, (*cpus_max - cpus + slack) / request.cpus);
   if (gpus_max && request.gpus > 0)
-    tasks = std::min(tasks, (*gpus_max - gpus + kSlack) / request.gpus);
+    tasks = std::min(tasks, (*gpus_max - gpus + slack) / request.gpus);
   return tasks <= 0 ? 0 : static_cast<std::uint32_t>(std::floor(tasks));
 }
 
--- a/src/sched/resources.cc
+++ b/src/sched/resources.cc
@@ -12,11 +12,11 @@
 }
 
 std::uint32_t capacity(const Resources& request, const Resources& total) {
-  constexpr double kSlack = 1e-9;  // a quotient that should be whole may come out just below
+  constexpr double slack = 1e-9;  // a quotient that should be whole may come out just below
   double tasks = wire::kMaxTasks;
-  if (request.cpus > 0) tasks = std::min(tasks, total.cpus / request.cpus + kSlack);
-  if (request.gpus > 0) tasks = std::min(tasks, total.gpus / request.gpus + kSlack);
-  if (request.memory_gb > 0) tasks = std::min(tasks, total.memory_gb / request.memory_gb + kSlack);
+  if (request.cpus > 0) tasks = std::min(tasks, total.cpus / request.cpus + slack);
+  if (request.gpus > 0) tasks = std::min(tasks, total.gpus / request.gpus + slack);
+  if (request.memory_gb > 0) tasks = std::min(tasks, total.memory_gb / request.memory_gb + slack);
   return static_cast<std::uint32_t>(std::floor(tasks));
 }
 
--- a/src/sched/resources.h
+++ b/src/sched/resources.h
@@ -13,9 +13,9 @@
   double memory_gb = 0;  // GB
 
   [[nodiscard]] bool fits_in(const Resources& available) const {
-    constexpr double kSlack = 1e-6;  // amounts are decimal fractions summed in binary
-    return cpus <= available.cpus + kSlack && gpus <= available.gpus + kSlack &&
-           memory_gb <= available.memory_gb + kSlack;
+    constexpr double slack = 1e-6;  // amounts are decimal fractions summed in binary
+    return cpus <= available.cpus + slack && gpus <= available.gpus + slack &&
+           memory_gb <= available.memory_gb + slack;
   }
   Resources& operator+=(const Resources& other) {
     cpus += other.cpus;
--- a/src/wire/enum_names.h
+++ b/src/wire/enum_names.h
@@ -10,20 +10,20 @@
 
 namespace seampass::wire {
 
-template <typename Enum, std::size_t size>
-using EnumNames = std::array<std::pair<Enum, std::string_view>, size>;
+template <typename Enum, std::size_t Size>
+using EnumNames = std::array<std::pair<Enum, std::string_view>, Size>;
 
 // Empty for a value that is never sent, and so has no name.
-template <typename Enum, std::size_t size>
-[[nodiscard]] constexpr std::string_view name_of(const EnumNames<Enum, size>& names, Enum value) {
+template <typename Enum, std::size_t Size>
+[[nodiscard]] constexpr std::string_view name_of(const EnumNames<Enum, Size>& names, Enum value) {
   for (const auto& [known, name] : names)
     if (known == value) return name;
   return "";
 }
 
 // Throws Malformed, which names `field`, if `name` is in no entry of the table.
-template <typename Enum, std::size_t size>
-[[nodiscard]] Enum value_of(const EnumNames<Enum, size>& names, std::string_view name,
+template <typename Enum, std::size_t Size>
+[[nodiscard]] Enum value_of(const EnumNames<Enum, Size>& names, std::string_view name,
                             const char* field) {
   for (const auto& [value, known] : names)
     if (known == name) return value;
@@ -31,8 +31,8 @@
 }
 
 // The member `field` of `object`, which has to be one of the names.
-template <typename Enum, std::size_t size>
-[[nodiscard]] Enum enum_field(const EnumNames<Enum, size>& names, const Json& object,
+template <typename Enum, std::size_t Size>
+[[nodiscard]] Enum enum_field(const EnumNames<Enum, Size>& names, const Json& object,
                               const char* field) {
   return value_of(names, text_field(object, field), field);
 }
