--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -14,8 +14,8 @@
 // One `key: value` of the file; errors name file, key and fault.
 class Entry {
  public:
-  Entry(const std::string& path, std::string key, YAML::Node value)
-      : path_(path), key_(std::move(key)), value_(std::move(value)) {}
+  Entry(const std::string& path, std::string key, const YAML::Node& value)
+      : path_(path), key_(std::move(key)), value_(value) {}
 
   [[nodiscard]] double number(double least) const {
     double number = 0;
