--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -56,8 +56,8 @@
   rpc::PeerLink peers(loop, settings.node, settings.peers);
   app::Node node(loop, http, peers, settings, operator_settings);
   net::HttpServer server(loop, server_limits(settings, budget),
-                         [&node](const net::Request& request, net::Answer answer) {
-                           node.handle(request, std::move(answer));
+                         [&node](const net::Request& request, const net::Answer& answer) {
+                           node.handle(request, answer);
                          });
   try {
     peers.listen(settings.back);
--- a/src/leader/records/record_store.cc
+++ b/src/leader/records/record_store.cc
@@ -81,9 +81,9 @@
 }
 
 const JobWrites& RecordStore::writes_of(const std::string& job) const {
-  static const JobWrites kNothingKnown;
+  static const JobWrites nothing_known;
   const auto entry = jobs_.find(job);
-  return entry == jobs_.end() ? kNothingKnown : entry->second;
+  return entry == jobs_.end() ? nothing_known : entry->second;
 }
 
 std::vector<std::string> RecordStore::jobs_writing(Layout layout) const {
--- a/src/leader/records/task_record_writer.cc
+++ b/src/leader/records/task_record_writer.cc
@@ -27,7 +27,7 @@
   while (const auto chunk = records_.chunk_in_use(id)) {
     // (Who waited for a record may have ended the job.)
     const JobRecord* job = jobs_.find(id);
-    if (!job || job->unreadable) return;
+    if (job == nullptr || job->unreadable) return;
     const TaskRange range = layout_.range(*chunk, job->spec.tasks);
     std::vector<RecordId> segments;
     for (std::uint32_t task = range.first; task < range.end;
@@ -50,7 +50,7 @@
 
 std::optional<Json> TaskRecordWriter::render(const std::string& id, const RecordId& record) const {
   const JobRecord* job = jobs_.find(id);
-  if (!job) return std::nullopt;
+  if (job == nullptr) return std::nullopt;
   TaskRecord held;
   held.id = record;
   held.range = layout_.range(record, job->spec.tasks);
