--- a/src/leader/recovery/prefix_listing.cc
+++ b/src/leader/recovery/prefix_listing.cc
@@ -8,25 +8,26 @@
                              Hooks hooks)
     : context_(context), state_(state), prefix_(std::move(prefix)), hooks_(std::move(hooks)) {}
 
-void PrefixListing::list(const std::string& after, PagePosition position) {
+void PrefixListing::request_page(const std::string& after_key, PagePosition position) {
   state_.list(
-      prefix_, after,
-      context_.term.callbacks().wrap([this, after, position](const state::ListResult& page) {
-        on_answer(after, position, page);
+      prefix_, after_key,
+      context_.term.callbacks().wrap([this, after_key, position](const state::ListResult& page) {
+        on_page_answered(after_key, position, page);
       }));
 }
 
-void PrefixListing::on_answer(const std::string& after, PagePosition position,
-                              const state::ListResult& page) {
+void PrefixListing::on_page_answered(const std::string& after_key, PagePosition position,
+                                     const state::ListResult& page) {
   if (page.outcome != state::Outcome::ok) {
-    context_.runtime.after(
-        net::ms(context_.settings.heartbeat_interval_s / 10),
-        context_.term.callbacks().wrap([this, after, position] { list(after, position); }));
+    context_.runtime.after(net::ms(context_.settings.heartbeat_interval_s / 10),
+                           context_.term.callbacks().wrap(
+                               [this, after_key, position] { request_page(after_key, position); }));
     return;
   }
   hooks_.on_page(page, position);
-  if (page.more && !page.items.empty()) return list(page.items.back().key, PagePosition::later);
-  hooks_.complete();
+  if (page.more && !page.items.empty())
+    return request_page(page.items.back().key, PagePosition::later);
+  hooks_.on_complete();
 }
 
 }  // namespace seampass::leader
--- a/src/leader/recovery/prefix_listing.h
+++ b/src/leader/recovery/prefix_listing.h
@@ -1,7 +1,9 @@
-// Lists all that the store holds under a prefix, page by page, and asks again for what is not
-// answered.
+// Lists all keys and values that the store holds under a prefix, page by page. A request that fails
+// is repeated until it succeeds or the term ends.
 //
-// Owns no state: a listing lives in the callbacks of its requests, and ends with the term.
+// PrefixListing owns no state that changes: the progress of a listing is kept in its request
+// callbacks, which are dropped when the term ends. JobWatcher and Recovery call it on the loop's
+// thread.
 #pragma once
 
 #include <functional>
@@ -17,19 +19,20 @@
   enum class PagePosition { first, later };
   struct Hooks {
     std::function<void(const state::ListResult& page, PagePosition position)> on_page;
-    std::function<void()> complete;
+    std::function<void()> on_complete;
   };
 
   PrefixListing(const LeaderContext& context, state::Client& state, std::string prefix,
                 Hooks hooks);
 
-  // Lists from the first key.
-  void start() { list("", PagePosition::first); }
+  // Starts a listing with the first key of the prefix.
+  void start() { request_page("", PagePosition::first); }
 
  private:
-  // From the first key after this one.
-  void list(const std::string& after, PagePosition position);
-  void on_answer(const std::string& after, PagePosition position, const state::ListResult& page);
+  // Requests the page that starts with the first key greater than `after_key`.
+  void request_page(const std::string& after_key, PagePosition position);
+  void on_page_answered(const std::string& after_key, PagePosition position,
+                        const state::ListResult& page);
 
   LeaderContext context_;
   state::Client& state_;
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -24,21 +24,22 @@
                 }}) {}
 
 void Recovery::end_term() {
-  collected_.clear();
+  collected_records_.clear();
   collected_job_.clear();
 }
 
 void Recovery::complete() {
-  hooks_.records_read();
-  settle_unfinished();
-  log_outcome();
+  hooks_.on_records_read();
+  finish_interrupted_steps();
+  log_recovery();
   parts_.dependencies.complete_listing();
   parts_.watcher.watch();
   hooks_.request_pass();
 }
 
-// What the former leader left half done. Each step can erase jobs, so this goes by name.
-void Recovery::settle_unfinished() {
+// Completes the steps that the former leader left unfinished. Each step can erase jobs from the job
+// table, so the loop runs over a copy of the job ids and looks up each job again.
+void Recovery::finish_interrupted_steps() {
   std::vector<std::string> ids;
   for (const auto& [id, job] : parts_.jobs) ids.push_back(id);
   for (const std::string& id : ids) {
@@ -46,30 +47,33 @@
     if (!job) continue;
     if (job->ended()) {
       for (auto& [task, attempt] : job->attempts) attempt.stop = true;
-      parts_.lifecycle.erase_if_settled(id);
+      parts_.job_lifecycle.erase_if_settled(id);
       continue;
     }
-    // Half an attempt in the records: the former leader did not get to start it all.
+    // The records contain only a part of the gang's attempt: the former leader stopped leading
+    // before it had started the whole attempt.
     if (job->gang() && !job->attempts.empty() &&
         job->attempts.size() + job->finished_count < job->spec.tasks)
-      parts_.attempts.stop_incomplete_gang(*job);
-    parts_.lifecycle.conclude_if_complete(*job);
+      parts_.attempt_lifecycle.stop_incomplete_gang(*job);
+    parts_.job_lifecycle.conclude_if_complete(*job);
   }
 }
 
-void Recovery::log_outcome() const {
-  std::size_t ended = 0;
+void Recovery::log_recovery() const {
+  std::size_t ended_jobs = 0;
   std::size_t attempts = 0;
   for (const auto& [id, job] : parts_.jobs) {
-    ended += job->ended() ? 1 : 0;
+    ended_jobs += job->ended() ? 1 : 0;
     attempts += job->attempts.size();
   }
-  audit::recovery_ended(context_.election.epoch(), parts_.watcher.first_listed(),
-                        parts_.jobs.size() - ended, ended, attempts,
+  audit::recovery_ended(context_.election.epoch(), parts_.watcher.first_listing_revision(),
+                        parts_.jobs.size() - ended_jobs, ended_jobs, attempts,
                         context_.runtime.now() - context_.term.began());
 }
 
-// Records come in the order of their keys, a job's chunks before its segments.
+// Decodes one task record and collects it until all records of its job are read. Records arrive in
+// the order of their keys: all records of one job follow one another, its chunks before its
+// segments.
 void Recovery::collect_record(const state::Item& item) {
   const auto key = parse_work_key(item.key);
   if (!key) return;
@@ -78,37 +82,39 @@
   collected_job_ = id;
   try {
     if (!key->record) throw wire::Malformed("no record's name");
-    collected_.push_back(
+    collected_records_.push_back(
         decode_task_record(*key->record, item.value, parts_.task_records.layout()));
     parts_.records.add_existing(id, *key->record, item.version);
   } catch (const wire::Malformed& error) {
-    // It may hold attempts that are at work: not taken for none.
+    // The record may contain attempts that are still running. Therefore the job is marked as
+    // unreadable and is not treated as a job without attempts.
     audit::unreadable_task_record(item.key, id, error.what());
     if (JobRecord* job = parts_.jobs.find(id)) job->unreadable = true;
   }
 }
 
-// A segment counts before a chunk, for all tasks in its range: it is newer, whatever the chunk
-// says.
+// Applies the collected records of one job. For every task in its range, a segment takes precedence
+// over a chunk, whatever the chunk contains, because the segment is newer.
 void Recovery::apply_collected_records() {
-  std::vector<TaskRecord> records = std::exchange(collected_, {});
+  std::vector<TaskRecord> records = std::exchange(collected_records_, {});
   if (records.empty()) return;
-  JobRecord* known = parts_.jobs.find(collected_job_);
-  JobRecord& job = known ? *known : add_ended_job(collected_job_, records.front());
-  const auto chunks = std::stable_partition(
+  JobRecord* existing_job = parts_.jobs.find(collected_job_);
+  JobRecord& job = existing_job ? *existing_job : add_ended_job(collected_job_, records.front());
+  const auto first_chunk = std::stable_partition(
       records.begin(), records.end(),
       [](const TaskRecord& record) { return record.id.layout == Layout::segments; });
   std::vector<bool> covered(job.spec.tasks, false);
   const auto apply = [&](const TaskRecord& record) { apply_record(job, record, covered); };
-  std::for_each(records.begin(), chunks, apply);
-  std::for_each(records.begin(), chunks, [&](const TaskRecord& record) {
+  std::for_each(records.begin(), first_chunk, apply);
+  std::for_each(records.begin(), first_chunk, [&](const TaskRecord& record) {
     for (std::uint32_t task = record.range.first; task < record.range.end; ++task)
       if (task < job.spec.tasks) covered[task] = true;
   });
-  std::for_each(chunks, records.end(), apply);
+  std::for_each(first_chunk, records.end(), apply);
 }
 
-// Ended, but some of its tasks were not known to be off their machines.
+// Adds a job that has task records but is not open: the job has ended, but some of its attempts
+// were not yet proven absent from their machines.
 JobRecord& Recovery::add_ended_job(const std::string& id, const TaskRecord& record) {
   JobRecord job;
   job.spec.id = id;
@@ -125,17 +131,19 @@
 
 void Recovery::apply_record(JobRecord& job, const TaskRecord& record,
                             const std::vector<bool>& covered) {
-  const auto is_other = [&](std::uint32_t task) { return task >= job.spec.tasks || covered[task]; };
+  const auto must_skip = [&](std::uint32_t task) {
+    return task >= job.spec.tasks || covered[task];
+  };
   job.last_attempt = std::max(job.last_attempt, record.last_attempt);
   for (std::uint32_t i = 0; i < record.finished.size(); ++i) {
     const std::uint32_t task = record.range.first + i;
-    if (record.finished[i] && !is_other(task)) job.finish_task(task);
+    if (record.finished[i] && !must_skip(task)) job.finish_task(task);
   }
-  for (const Assignment& assigned : record.assignments) {
-    if (is_other(assigned.task) || job.attempts.contains(assigned.task)) continue;
+  for (const Assignment& assignment : record.assignments) {
+    if (must_skip(assignment.task) || job.attempts.contains(assignment.task)) continue;
     TaskAttempt& attempt =
-        parts_.tracker.add(job, assigned.task, assigned.attempt,
-                           parts_.fleet.ensure(assigned.machine), assigned.incarnation);
+        parts_.attempt_tracker.add(job, assignment.task, assignment.attempt,
+                                   parts_.fleet.ensure(assignment.machine), assignment.incarnation);
     attempt.durable = attempt.sent = true;
   }
 }
--- a/src/leader/recovery/recovery.h
+++ b/src/leader/recovery/recovery.h
@@ -1,8 +1,10 @@
-// A new leader's reading of the records of tasks: which attempts may be at work, what is finished,
-// and what the former leader left half done.
+// Restores a new leader's state from the task records: which attempts may be running, which tasks
+// are finished, and which steps the former leader left unfinished.
 //
-// Owns the records of one job at a time, until all of them are read. Called on the loop's thread,
-// between the term's start and its end; open jobs are listed before (JobWatcher).
+// Recovery owns the records of one job at a time, until all records of that job are read.
+// LeaderTerm calls it on the loop's thread, between the start and the end of a term, after
+// JobWatcher has listed the open jobs. A failed request is retried. A record that can't be decoded
+// is logged, and its job, if the job is still open, is marked as unreadable.
 #pragma once
 
 #include <functional>
@@ -32,32 +34,35 @@
     RecordStore& records;
     const TaskRecordWriter& task_records;
     Fleet& fleet;
-    AttemptTracker& tracker;
-    AttemptLifecycle& attempts;
-    JobLifecycle& lifecycle;
+    AttemptTracker& attempt_tracker;
+    AttemptLifecycle& attempt_lifecycle;
+    JobLifecycle& job_lifecycle;
     DependencyTracker& dependencies;
     JobWatcher& watcher;
   };
   struct Hooks {
-    // All records are read: the term's state is complete, and passes may be asked for.
-    std::function<void()> records_read;
+    // Reports that all records are read. The state of the term is then complete, and scheduling
+    // passes may be requested.
+    std::function<void()> on_records_read;
     std::function<void()> request_pass;
   };
 
   Recovery(const LeaderContext& context, state::Client& state, const Parts& parts, Hooks hooks);
 
   void end_term();
-  // Reads the records of tasks, then settles what was left half done, and has new jobs watched.
+  // Reads all task records, then completes what the former leader left unfinished, and starts the
+  // watch for new jobs.
   void read_task_records() { listing_.start(); }
 
  private:
   void complete();
-  void settle_unfinished();
-  void log_outcome() const;
+  void finish_interrupted_steps();
+  void log_recovery() const;
   void collect_record(const state::Item& item);
   void apply_collected_records();
   JobRecord& add_ended_job(const std::string& id, const TaskRecord& record);
-  // `covered`: by task, whether a newer record says what became of it.
+  // `covered`: for each task of the job, whether a newer record, which takes precedence, has been
+  // applied.
   void apply_record(JobRecord& job, const TaskRecord& record, const std::vector<bool>& covered);
 
   LeaderContext context_;
@@ -65,7 +70,7 @@
   Hooks hooks_;
   PrefixListing listing_;
   std::string collected_job_;
-  std::vector<TaskRecord> collected_;
+  std::vector<TaskRecord> collected_records_;
 };
 
 }  // namespace seampass::leader
