--- a/src/leader/audit_log.cc
+++ b/src/leader/audit_log.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-// How reasons, proofs and causes are written: the enumerators' own names.
-const char* name_of(StepDownReason why) {
-  switch (why) {
+// Each name_of() returns the text that the log shows for a value: the name of the enumerator.
+const char* name_of(StepDownReason reason) {
+  switch (reason) {
     case StepDownReason::lease_ended:
       return "lease_ended";
     case StepDownReason::worker_shows_higher_epoch:
@@ -41,8 +41,8 @@
   return "?";
 }
 
-const char* name_of(StopReason why) {
-  switch (why) {
+const char* name_of(StopReason reason) {
+  switch (reason) {
     case StopReason::job_over:
       return "job_over";
     case StopReason::gang_incomplete:
@@ -103,8 +103,8 @@
 
 void elected(std::uint64_t epoch) { spdlog::info("elected epoch={}", epoch); }
 
-void stepped_down(std::uint64_t epoch, StepDownReason why, net::Ms since_grant) {
-  spdlog::info("stepped_down epoch={} reason={} since_grant_ms={}", epoch, name_of(why),
+void stepped_down(std::uint64_t epoch, StepDownReason reason, net::Ms since_grant) {
+  spdlog::info("stepped_down epoch={} reason={} since_grant_ms={}", epoch, name_of(reason),
                since_grant);
 }
 
@@ -116,10 +116,10 @@
   spdlog::info("extended_by_peers epoch={} since_grant_ms={}", epoch, since_grant);
 }
 
-void recovery_ended(std::uint64_t epoch, state::Version listed, std::size_t open_jobs,
-                    std::size_t ended_jobs, std::size_t attempts, net::Ms took) {
+void recovery_ended(std::uint64_t epoch, state::Version revision, std::size_t open_jobs,
+                    std::size_t ended_jobs, std::size_t attempts, net::Ms duration) {
   spdlog::info("recovered open_jobs={} ended_jobs={} attempts={} epoch={} revision={} took_ms={}",
-               open_jobs, ended_jobs, attempts, epoch, listed, took);
+               open_jobs, ended_jobs, attempts, epoch, revision, duration);
 }
 
 void load(const Load& load) {
@@ -178,9 +178,9 @@
 
 void all_running(const std::string& job) { spdlog::debug("all_running job={}", job); }
 
-void stop(const AttemptId& attempt, const std::string& machine, StopReason why) {
+void stop(const AttemptId& attempt, const std::string& machine, StopReason reason) {
   spdlog::debug("stop job={} task={} attempt={} machine={} reason={}", attempt.job, attempt.task,
-                attempt.attempt, machine, name_of(why));
+                attempt.attempt, machine, name_of(reason));
 }
 
 void exited(const AttemptId& attempt, const std::string& machine, wire::ExitCause cause,
--- a/src/leader/audit_log.h
+++ b/src/leader/audit_log.h
@@ -1,9 +1,11 @@
-// The log lines from which a job can be followed from one controller to the next: who led under
-// which epoch, what was read, and why a start, a stop, an absence or an answer was allowed.
+// Formats the structured log lines with which an operator can follow a job from one leader to the
+// next. The lines state which controller led under which epoch, what recovery read, and why the
+// leader was allowed to start or stop a task, to treat an attempt as absent or to answer a user.
 //
-// Every line has the form `event key=value ...`; times end in `_ms`. Free text, as of an error,
-// stands last and in quotes. This is the one place that formats them, and nothing is formatted
-// while the level is off. Functions without state, called on the loop's thread.
+// Every line has the form `event key=value ...`. Keys of durations end in `_ms`. Free text, such as
+// an error message, is the last value and is quoted. Only this file formats such lines, and it
+// formats nothing while the log level is disabled. The functions have no state. They are called on
+// the loop's thread. Durations are in milliseconds.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +20,7 @@
 
 namespace seampass::leader::audit {
 
-// Why a controller stopped leading.
+// The reason for which a controller stopped leading.
 enum class StepDownReason {
   lease_ended,
   worker_shows_higher_epoch,
@@ -26,56 +28,63 @@
   fenced,
   resigned
 };
-// What proves that an attempt is off its machine (docs/safety.md, "Off").
+// The proof that an attempt is absent from its machine (docs/safety.md, "When an attempt is proven
+// absent").
 enum class AbsenceProof { reported_ended, inspected, machine_deleted, lease_expired, never_sent };
-// Why an attempt is to stop.
+// The reason for which the leader stops an attempt.
 enum class StopReason { job_over, gang_incomplete, room_needed, machine_leaving, not_wanted };
-// How a start travels to the worker.
+// How a start reaches the worker: by a command of its own, or in the answer to a heartbeat.
 enum class StartPath { command, heartbeat };
-// What an answer to a user rests on.
+// The source of an answer to a user: a final status in this controller's cache (written to the
+// store, or derived from a cancelled dependency), the leader or the store.
 enum class AnswerBasis { cache_written, cache_derived, leader, store };
 
-// Info: rare, one line each.
+// Events logged at level info. They are rare, and each is one line.
 void elected(std::uint64_t epoch);
-void stepped_down(std::uint64_t epoch, StepDownReason why, net::Ms since_grant);
+void stepped_down(std::uint64_t epoch, StepDownReason reason, net::Ms since_grant);
 void renewal_failed(std::uint64_t epoch, net::Ms since_grant);
 void extended_by_peers(std::uint64_t epoch, net::Ms since_grant);
-void recovery_ended(std::uint64_t epoch, state::Version listed, std::size_t open_jobs,
-                    std::size_t ended_jobs, std::size_t attempts, net::Ms took);
+void recovery_ended(std::uint64_t epoch, state::Version revision, std::size_t open_jobs,
+                    std::size_t ended_jobs, std::size_t attempts, net::Ms duration);
 
-// What has passed between this controller and the state service, and how busy it is.
+// Counters of the requests between this controller and the state service, and measures of this
+// controller's load.
 struct Load {
   state::Counters store;
   std::size_t waiting_reads = 0, waiting_writes = 0;
-  net::Ms backlog = 0;   // how long the least urgent write waits for its turn
-  net::Ms lateness = 0;  // of the tick that says so: the length of a turn of the loop
+  net::Ms backlog = 0;  // how long a write of the lowest urgency would now wait in the queue
+  // Delay of the timer tick that logs this line. It shows how long one event loop iteration takes.
+  net::Ms lateness = 0;
   net::Ms since_grant = 0;
 };
 void load(const Load& load);
 
-// Error: what can't be read stands, and nothing is decided by it.
+// Events logged at level error. A record that can't be read stays in the store unchanged, and the
+// leader makes no decision based on it.
 void unreadable_job(const std::string& job, const std::string& error);
 void unreadable_task_record(const std::string& key, const std::string& job,
                             const std::string& error);
-// An open job depends on this one, and the store does not know it.
+// Logs that an open job depends on `job`, which the store does not contain.
 void unknown_dependency(const std::string& job);
 
-// Debug: by job.
+// Events of single jobs, logged at level debug.
 void queued(const wire::Job& job);
 void record_durable(const std::string& job, const RecordId& record, state::Version revision);
 void final_status(const std::string& job, wire::Stage stage, state::Version revision);
 void ready(const std::string& job, const std::string& last_dependency);
-// With a job that it depends on.
+// Logs that a job is cancelled because a job that it depends on is cancelled.
 void cancelled_with_dependency(const std::string& job);
-// An attempt of the job begins: its tasks are assigned, and started once that is durable.
+// Logs that the leader begins an attempt of the job: its tasks are assigned to machines now, and
+// are started once the assignments are durable.
 void launch(const std::string& job, std::uint64_t attempt, std::size_t tasks,
             const std::string& first_machine);
-// Its assignment is durable, and nothing that its job depends on is open.
+// Logs that the leader starts an attempt: its assignment is durable, and no dependency of its job
+// is still open.
 void start(const AttemptId& attempt, const std::string& machine, std::uint64_t incarnation,
            std::uint64_t epoch, StartPath path);
 void all_running(const std::string& job);
-void stop(const AttemptId& attempt, const std::string& machine, StopReason why);
-// `stopping`: it was told to stop before.
+void stop(const AttemptId& attempt, const std::string& machine, StopReason reason);
+// Logs that an attempt has exited. `stopping`: whether the leader had already requested its stop.
 void exited(const AttemptId& attempt, const std::string& machine, wire::ExitCause cause,
             bool stopping);
 void absent(const AttemptId& attempt, const std::string& machine, AbsenceProof proof);
--- a/src/leader/ids.h
+++ b/src/leader/ids.h
@@ -1,4 +1,5 @@
-// Names of tasks and of their attempts, as they stand in reports, commands and records.
+// Identifiers of tasks and of their attempts, as used in heartbeats, commands and task records, and
+// conversions between them and the wire types. Plain values and pure functions.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,8 @@
   }
 };
 
-// Attempts of a job are numbered once, so that no two starts of a task share an id.
+// Identifies one attempt of a task. Attempts are numbered within their job and a number is never
+// reused, so that no two starts of a task have the same id.
 struct AttemptId {
   std::string job;
   std::uint32_t task = 0;
@@ -32,15 +34,16 @@
   }
 };
 
-[[nodiscard]] inline AttemptId id_of(const wire::TaskStatus& report) {
-  return {report.job, report.index, report.attempt};
+[[nodiscard]] inline AttemptId id_of(const wire::TaskStatus& status) {
+  return {status.job, status.index, status.attempt};
 }
 
 [[nodiscard]] inline AttemptId id_of(const wire::Command& command) {
   return {command.job, command.index, command.attempt};
 }
 
-// The grace counts for a stop alone.
+// Builds a command for an attempt. `termination_grace_s`, in seconds, applies to stop commands
+// only.
 [[nodiscard]] inline wire::Command command_for(wire::Verb verb, const AttemptId& id,
                                                double termination_grace_s = 0) {
   return {verb, id.job, id.task, id.attempt, termination_grace_s};
--- a/src/leader/leader_context.h
+++ b/src/leader/leader_context.h
@@ -1,5 +1,6 @@
-// What every part of the leader may use of its surroundings. All of it outlives the parts, which
-// are called on the loop's thread only.
+// References that every part of the leader needs: the runtime, the election, the state of the term
+// and the settings. All referenced objects outlive the parts. The parts use them on the loop's
+// thread only.
 #pragma once
 
 #include "config/settings.h"
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -13,37 +13,44 @@
                        const config::OperatorSettings& operator_settings)
     : runtime_(runtime),
       election_(election),
-      cluster_(cluster),
+      cluster_version_(cluster),
       term_(election),
       context_{runtime, election, term_, settings},
       workers_(std::move(workers)),
-      tracker_(runtime),
+      attempt_tracker_(runtime),
       fleet_(runtime, cloud, catalog, settings, operator_settings,
              [this](Machine& machine) { on_machine_gone(machine); }),
       records_(runtime, state, settings.least_state_limits(), record_store_hooks()),
       task_records_(jobs_, records_, cluster.spans()),
-      dependencies_(runtime, status_reader, net::ms(settings.heartbeat_interval_s / 10),
-                    dependency_hooks()),
-      scheduling_(
-          {runtime, jobs_, tracker_, dependencies_.graph(), catalog, settings, operator_settings},
-          state, election, fleet_, *this),
-      commands_(context_, workers_, fleet_, jobs_,
-                [this](Machine& machine, const wire::Heartbeat& report) {
-                  reconciler_.reconcile(machine, report, ReportSource::command_answer);
-                }),
-      attempts_(context_, jobs_, tracker_, task_records_, fleet_, commands_, attempt_hooks()),
-      launcher_(context_, jobs_, tracker_, task_records_, commands_, attempts_),
-      lifecycle_(context_, {jobs_, records_, dependencies_, attempts_, status_reader, cluster},
-                 job_hooks()),
-      job_requests_(context_, jobs_, records_, dependencies_, status_reader, lifecycle_),
-      absence_(context_, workers_, fleet_, tracker_, attempts_, commands_),
-      reconciler_(context_, {jobs_, fleet_, tracker_, task_records_, attempts_, absence_},
-                  reconciler_hooks()),
-      heartbeats_(context_, jobs_, fleet_, task_records_, status_reader, reconciler_),
-      watcher_(context_, state, watcher_hooks()),
+      dependency_tracker_(runtime, status_reader, net::ms(settings.heartbeat_interval_s / 10),
+                          dependency_hooks()),
+      scheduling_loop_({runtime, jobs_, attempt_tracker_, dependency_tracker_.graph(), catalog,
+                        settings, operator_settings},
+                       state, election, fleet_, *this),
+      command_dispatcher_(context_, workers_, fleet_, jobs_,
+                          [this](Machine& machine, const wire::Heartbeat& report) {
+                            reconciler_.reconcile(machine, report, ReportSource::command_answer);
+                          }),
+      attempt_lifecycle_(context_, jobs_, attempt_tracker_, task_records_, fleet_,
+                         command_dispatcher_, attempt_hooks()),
+      launcher_(context_, jobs_, attempt_tracker_, task_records_, command_dispatcher_,
+                attempt_lifecycle_),
+      job_lifecycle_(
+          context_,
+          {jobs_, records_, dependency_tracker_, attempt_lifecycle_, status_reader, cluster},
+          job_hooks()),
+      job_requests_(context_, jobs_, records_, dependency_tracker_, status_reader, job_lifecycle_),
+      absence_verifier_(context_, workers_, fleet_, attempt_tracker_, attempt_lifecycle_,
+                        command_dispatcher_),
+      reconciler_(
+          context_,
+          {jobs_, fleet_, attempt_tracker_, task_records_, attempt_lifecycle_, absence_verifier_},
+          reconciler_hooks()),
+      heartbeat_handler_(context_, jobs_, fleet_, task_records_, status_reader, reconciler_),
+      job_watcher_(context_, state, watcher_hooks()),
       recovery_(context_, state,
-                {jobs_, records_, task_records_, fleet_, tracker_, attempts_, lifecycle_,
-                 dependencies_, watcher_},
+                {jobs_, records_, task_records_, fleet_, attempt_tracker_, attempt_lifecycle_,
+                 job_lifecycle_, dependency_tracker_, job_watcher_},
                 recovery_hooks()) {}
 
 void LeaderTerm::start_term() {
@@ -53,67 +60,69 @@
   audit::elected(epoch);
   records_.start_term(epoch);
   fleet_.start_term(epoch);
-  task_records_.start_term(cluster_.spans());
-  // Records are read once it is known in which layouts they may be.
-  cluster_.start_term(epoch,
-                      {.on_loaded = [this] { watcher_.list(); },
-                       .on_finalized = [this] { task_records_.use_segments(cluster_.spans()); },
-                       .on_fenced = [this] { on_fenced(); }});
-  scheduling_.start_term(term_.began());
+  task_records_.start_term(cluster_version_.spans());
+  // The open jobs and the task records are read only after the cluster version is loaded, because
+  // it determines in which layouts the records may be.
+  cluster_version_.start_term(
+      epoch, {.on_loaded = [this] { job_watcher_.list(); },
+              .on_finalized = [this] { task_records_.use_segments(cluster_version_.spans()); },
+              .on_fenced = [this] { on_fenced(); }});
+  scheduling_loop_.start_term(term_.began());
 }
 
 void LeaderTerm::end_term() {
   term_.end();
-  scheduling_.end_term();
-  watcher_.end_term();
-  lifecycle_.end_term();
-  tracker_.clear();
+  scheduling_loop_.end_term();
+  job_watcher_.end_term();
+  job_lifecycle_.end_term();
+  attempt_tracker_.clear();
   recovery_.end_term();
-  cluster_.end_term();
-  dependencies_.end_term();
+  cluster_version_.end_term();
+  dependency_tracker_.end_term();
   records_.end_term();
   fleet_.end_term();
-  commands_.end_term();
+  command_dispatcher_.end_term();
 }
 
 RecordStore::Callbacks LeaderTerm::record_store_hooks() {
-  return {.render = [this](const std::string& job,
-                           const RecordId& record) { return task_records_.render(job, record); },
-          .on_fenced = [this] { on_fenced(); },
-          .on_final_status_found = [this](const std::string& job,
-                                          wire::Stage stage) { lifecycle_.on_ended(job, stage); },
-          .on_value_too_large = [this] { cluster_.finalize(); }};
+  return {
+      .render = [this](const std::string& job,
+                       const RecordId& record) { return task_records_.render(job, record); },
+      .on_fenced = [this] { on_fenced(); },
+      .on_final_status_found = [this](const std::string& job,
+                                      wire::Stage stage) { job_lifecycle_.on_ended(job, stage); },
+      .on_value_too_large = [this] { cluster_version_.finalize(); }};
 }
 
 DependencyTracker::Hooks LeaderTerm::dependency_hooks() {
   return {[this](const std::string& job, const std::string& last_dependency) {
-            lifecycle_.on_ready(job, last_dependency);
+            job_lifecycle_.on_ready(job, last_dependency);
           },
-          [this](const std::string& job) { lifecycle_.cancel_dependent(job); },
+          [this](const std::string& job) { job_lifecycle_.cancel_dependent(job); },
           [this](const std::string& job, const state::Item& open) {
-            lifecycle_.apply_open_record(job, open.value, open.version);
+            job_lifecycle_.apply_open_record(job, open.value, open.version);
           }};
 }
 
 AttemptLifecycle::Hooks LeaderTerm::attempt_hooks() {
-  return {[this](const std::string& job) { lifecycle_.erase_if_settled(job); },
-          [this](JobRecord& job) { lifecycle_.conclude_if_complete(job); },
-          [this] { scheduling_.request_pass(); }};
+  return {[this](const std::string& job) { job_lifecycle_.erase_if_settled(job); },
+          [this](JobRecord& job) { job_lifecycle_.conclude_if_complete(job); },
+          [this] { scheduling_loop_.request_pass(); }};
 }
 
 JobLifecycle::Hooks LeaderTerm::job_hooks() {
-  return {[this](const JobRecord& job) { scheduling_.record_arrival(job); },
-          [this] { scheduling_.request_pass(); }};
+  return {[this](const JobRecord& job) { scheduling_loop_.record_arrival(job); },
+          [this] { scheduling_loop_.request_pass(); }};
 }
 
 HeartbeatReconciler::Hooks LeaderTerm::reconciler_hooks() {
-  return {[this](JobRecord& job) { lifecycle_.conclude_if_complete(job); },
-          [this] { scheduling_.request_pass(); }};
+  return {[this](JobRecord& job) { job_lifecycle_.conclude_if_complete(job); },
+          [this] { scheduling_loop_.request_pass(); }};
 }
 
 JobWatcher::Hooks LeaderTerm::watcher_hooks() {
   return {[this](const std::string& id, const wire::Json& record, state::Version version) {
-            lifecycle_.apply_open_record(id, record, version);
+            job_lifecycle_.apply_open_record(id, record, version);
           },
           [this] { recovery_.read_task_records(); }};
 }
@@ -121,14 +130,14 @@
 Recovery::Hooks LeaderTerm::recovery_hooks() {
   return {[this] {
             term_.complete_recovery();
-            scheduling_.allow_passes();
+            scheduling_loop_.allow_passes();
           },
-          [this] { scheduling_.request_pass(); }};
+          [this] { scheduling_loop_.request_pass(); }};
 }
 
 void LeaderTerm::on_machine_gone(Machine& machine) {
-  attempts_.release_machine(machine, audit::AbsenceProof::machine_deleted);
-  scheduling_.forget_machine(machine);
+  attempt_lifecycle_.release_machine(machine, audit::AbsenceProof::machine_deleted);
+  scheduling_loop_.forget_machine(machine);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/leader_term.h
+++ b/src/leader/leader_term.h
@@ -1,13 +1,14 @@
-// One term of leadership: wires the leader's parts and gives them a beginning and an end.
+// Creates and connects the parts of the leader, and starts and ends each term of leadership.
 //
-// Its parts, by what they own: JobTable the jobs, AttemptTracker what their attempts take up, Fleet
-// the machines, RecordStore and TaskRecordWriter what is durable, DependencyTracker the graph of
-// dependencies, SchedulingLoop the snapshot and the passes. The others own no state, and are named
-// after what they decide. The parts live as long as the node; they are reset as the term ends,
-// since that can happen deep inside a call of any of them.
+// The following parts own state: JobTable owns the jobs, AttemptTracker the resources that their
+// attempts use, Fleet the machines, RecordStore and TaskRecordWriter the durable records,
+// DependencyTracker the dependency graph, and SchedulingLoop the snapshot and the scheduling
+// passes. Each of the other parts is named after the decision that it makes. The parts live as long
+// as the node and are reset when a term ends. They are not destroyed then, because a term can end
+// during a call into any one of them.
 //
-// An actor: every call comes from the loop's thread. start_term and end_term are called by the
-// Election alone; between them this node leads, as far as it knows.
+// All calls come from the loop's thread. start_term() and end_term() are called only through the
+// callbacks of Election; between the two calls this node leads, as far as it knows.
 #pragma once
 
 #include <functional>
@@ -53,44 +54,47 @@
              const config::Settings& settings, const config::OperatorSettings& operator_settings);
 
   void start_term();
-  // Nothing of the term runs after this, and no part may go on with what it was doing.
+  // Ends the term. No callback of the term runs afterwards. If the term ends during a call into a
+  // part, that part must not continue its work.
   void end_term();
 
   [[nodiscard]] HeartbeatReply handle_heartbeat(const wire::Heartbeat& report) {
-    return heartbeats_.handle(report);
+    return heartbeat_handler_.handle(report);
   }
-  // News that a job was accepted, from this node or another.
+  // Handles the message, from this node or another, that a job was accepted.
   void on_job_accepted(const std::string& id, const wire::Json& record, state::Version version) {
-    watcher_.on_job_accepted(id, record, version);
+    job_watcher_.on_job_accepted(id, record, version);
   }
-  // A poll or a cancellation; answered with rpc::Lookup::unavailable unless the lease surely holds.
+  // Handles a status poll or a cancellation. The reply is rpc::Lookup::unavailable unless the term
+  // is ready: recovery is complete and the lease is certainly still valid.
   void handle_job_request(const std::string& id, JobRequestKind kind,
                           JobRequestHandler::Reply reply) {
     job_requests_.handle(id, kind, std::move(reply));
   }
 
  private:
-  // TaskActions: what scheduling causes.
+  // Implementation of TaskActions, by which the SchedulingLoop acts on attempts.
   TaskAttempt* find_attempt(const std::string& job, std::uint32_t task) override {
     return jobs_.find_attempt(job, task);
   }
-  void stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason why) override {
-    attempts_.stop_to_checkpoint(attempt, why);
+  void stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason reason) override {
+    attempt_lifecycle_.stop_to_checkpoint(attempt, reason);
   }
   void send_stops(const std::vector<TaskAttempt*>& attempts) override {
-    commands_.send_stops(attempts);
+    command_dispatcher_.send_stops(attempts);
   }
-  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why) override {
-    attempts_.stop_all(job, termination_grace_s, why);
+  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason reason) override {
+    attempt_lifecycle_.stop_all(job, termination_grace_s, reason);
   }
   void release_machine(Machine& machine, audit::AbsenceProof proof) override {
-    attempts_.release_machine(machine, proof);
+    attempt_lifecycle_.release_machine(machine, proof);
   }
   void launch(JobRecord& job, const std::vector<PlacedTask>& tasks) override {
     launcher_.launch(job, tasks);
   }
 
-  // The callbacks between parts that know one another's name only here.
+  // These functions create the callbacks that connect the parts. A part that calls such a callback
+  // does not know the type of the part that handles it; only LeaderTerm knows both.
   RecordStore::Callbacks record_store_hooks();
   DependencyTracker::Hooks dependency_hooks();
   AttemptLifecycle::Hooks attempt_hooks();
@@ -103,28 +107,28 @@
 
   net::Runtime& runtime_;
   Election& election_;
-  ClusterVersion& cluster_;
+  ClusterVersion& cluster_version_;
   TermState term_;
   const LeaderContext context_;
   workers::Client workers_;
 
   JobTable jobs_;
-  AttemptTracker tracker_;
+  AttemptTracker attempt_tracker_;
   Fleet fleet_;
   RecordStore records_;
   TaskRecordWriter task_records_;
-  DependencyTracker dependencies_;
-  SchedulingLoop scheduling_;
+  DependencyTracker dependency_tracker_;
+  SchedulingLoop scheduling_loop_;
 
-  CommandDispatcher commands_;
-  AttemptLifecycle attempts_;
+  CommandDispatcher command_dispatcher_;
+  AttemptLifecycle attempt_lifecycle_;
   AttemptLauncher launcher_;
-  JobLifecycle lifecycle_;
+  JobLifecycle job_lifecycle_;
   JobRequestHandler job_requests_;
-  AbsenceVerifier absence_;
+  AbsenceVerifier absence_verifier_;
   HeartbeatReconciler reconciler_;
-  HeartbeatHandler heartbeats_;
-  JobWatcher watcher_;
+  HeartbeatHandler heartbeat_handler_;
+  JobWatcher job_watcher_;
   Recovery recovery_;
 };
 
--- a/src/leader/term_state.h
+++ b/src/leader/term_state.h
@@ -1,8 +1,10 @@
-// Where this node stands in its term of leadership.
+// The state of this node's term of leadership: whether the term is active and whether recovery is
+// complete.
 //
-// Owned and changed by LeaderTerm; the leader's parts read it. Its callback scope is the one of the
-// whole term: every timer and every answer that a part waits for is wrapped in it, so that nothing
-// of one term runs in the next.
+// LeaderTerm owns and changes the TermState; the other parts of the leader only read it, on the
+// loop's thread. The TermState also owns the callback scope of the whole term. Every part wraps its
+// timers and request callbacks in this scope, so that no callback of one term runs in the next
+// term. Times are in milliseconds of the runtime's steady clock.
 #pragma once
 
 #include "leader/election/election.h"
@@ -20,19 +22,20 @@
     began_ = now;
   }
   void complete_recovery() { recovered_ = true; }
-  // No callback of the term runs after this.
+  // Ends the term. No callback of the term runs afterwards.
   void end() {
     callbacks_.renew();
     active_ = recovered_ = false;
   }
 
-  // This node leads, as far as it knows.
+  // Whether this node leads, as far as it knows.
   [[nodiscard]] bool active() const { return active_; }
-  // All that the former leaders wrote is known here.
+  // Whether recovery is complete: this leader has read everything that former leaders wrote.
   [[nodiscard]] bool recovered() const { return recovered_; }
-  // Recovered, and the lease surely holds: answers may be given and tasks started.
+  // Whether recovery is complete and the lease is certainly still valid. Only then may this leader
+  // answer users' requests and start tasks.
   [[nodiscard]] bool ready() const { return recovered_ && election_.holds(); }
-  // When the term began, by the steady clock.
+  // When the term began.
   [[nodiscard]] net::Ms began() const { return began_; }
   [[nodiscard]] const net::CallbackScope& callbacks() const { return callbacks_; }
 
