--- a/src/leader/attempts/absence_verifier.h
+++ b/src/leader/attempts/absence_verifier.h
@@ -1,8 +1,10 @@
-// Asks a machine whether the attempts that its reports lack are off it.
+// Verifies whether attempts that a worker's reports do not list are absent from its machine.
 //
-// A report that lacks an attempt proves nothing by itself (AttemptTracker::to_inspect says why), so
-// the worker is asked by an inspection, one at a time for each machine. Owns no state: the question
-// is noted at the Machine. Called on the loop's thread, between the term's start and its end.
+// A report (wire::Heartbeat) that does not list an attempt does not prove its absence;
+// AttemptTracker::to_inspect gives the reason. The AbsenceVerifier therefore sends the worker an
+// inspection request, at most one at a time for each machine. The class owns no state:
+// Machine::inspecting says whether a request is in flight. It is called on the event loop's thread,
+// between the start and the end of a term.
 #pragma once
 
 #include <vector>
@@ -24,12 +26,12 @@
                   const AttemptTracker& tracker, AttemptLifecycle& attempts,
                   CommandDispatcher& commands);
 
-  // Inspects the machine if that can prove any of its missing attempts to be off it.
+  // Inspects the machine if the reply can prove that any of its missing attempts is absent.
   void verify(Machine& machine);
 
  private:
   void on_inspection(Machine& machine, const wire::Heartbeat& report,
-                     const std::vector<AttemptId>& asked);
+                     const std::vector<AttemptId>& candidates);
 
   LeaderContext context_;
   workers::Client& workers_;
--- a/src/leader/attempts/attempt_launcher.cc
+++ b/src/leader/attempts/attempt_launcher.cc
@@ -12,9 +12,9 @@
 using wire::Verb;
 
 namespace {
-// Attempts on one machine that can't be forgotten, since their starts may come once more: they make
-// its reports longer.
-constexpr std::size_t kMostUnforgettable = 8;
+// Maximum number of attempts on one machine whose start may still be executed late by a copy of the
+// command. The worker must not forget such an attempt, so each of them makes its reports longer.
+constexpr std::size_t kMaxReplayableStarts = 8;
 }  // namespace
 
 AttemptLauncher::AttemptLauncher(const LeaderContext& context, const JobTable& jobs,
@@ -30,24 +30,26 @@
 void AttemptLauncher::launch(JobRecord& job, const std::vector<PlacedTask>& tasks) {
   const std::uint64_t attempt = ++job.last_attempt;
   std::map<RecordId, std::vector<AttemptId>> by_record;
-  std::vector<AttemptId> all;
+  std::vector<AttemptId> all_ids;
   for (const PlacedTask& placed : tasks) {
     tracker_.add(job, placed.task, attempt, *placed.machine, placed.machine->incarnation);
-    all.push_back({job.spec.id, placed.task, attempt});
-    by_record[task_records_.record_of(placed.task)].push_back(all.back());
+    all_ids.push_back({job.spec.id, placed.task, attempt});
+    by_record[task_records_.record_of(placed.task)].push_back(all_ids.back());
   }
-  audit::launch(job.spec.id, attempt, all.size(),
+  audit::launch(job.spec.id, attempt, all_ids.size(),
                 tasks.empty() ? "none" : tasks.front().machine->name);
   const std::string id = job.spec.id;
   const bool gang = job.gang();
-  // A gang's start may span several records: nothing starts before the last is durable.
-  const auto waiting = std::make_shared<std::size_t>(by_record.size());
-  for (auto& [record, list] : by_record) {
-    task_records_.record_changed(id, list.front().task, Urgency::assignment,
-                                 [this, id, gang, waiting, all, list = list] {
-                                   if (!gang) return on_assignment_durable(id, list);
-                                   if (--*waiting == 0) on_assignment_durable(id, all);
-                                 });
+  // The attempts of a gang may be in several task records. No task of the gang starts before the
+  // last of these records is durable.
+  const auto records_pending = std::make_shared<std::size_t>(by_record.size());
+  for (auto& [record, record_ids] : by_record) {
+    task_records_.record_changed(
+        id, record_ids.front().task, Urgency::assignment,
+        [this, id, gang, records_pending, all_ids, record_ids = record_ids] {
+          if (!gang) return on_assignment_durable(id, record_ids);
+          if (--*records_pending == 0) on_assignment_durable(id, all_ids);
+        });
   }
 }
 
@@ -55,24 +57,26 @@
   return !attempt.stop && !attempt.sent && attempt.job->active() && context_.election.holds();
 }
 
-// The record that assigns these tasks is durable: they may be started.
+// Starts these attempts, whose task records are durable now.
 void AttemptLauncher::on_assignment_durable(const std::string& id,
                                             const std::vector<AttemptId>& assigned) {
   if (!jobs_.contains(id)) return;
   std::map<Machine*, std::vector<wire::Command>, ByName> by_machine;
-  std::vector<TaskAttempt*> void_attempts;
+  std::vector<TaskAttempt*> unsent;
   for (const AttemptId& attempt_id : assigned) {
     TaskAttempt* attempt = jobs_.find_attempt(attempt_id);
     if (!attempt) continue;
     attempt->durable = true;
     if (!may_start(*attempt)) continue;
     Machine& machine = *attempt->machine;
-    // Each start that goes there by itself leaves an attempt that can't be forgotten for long.
-    // Those beyond the bound travel in the answer to the next heartbeat, of which no copy comes
+    // A start that is sent through /commands may be executed late by a copy, so the worker must
+    // remember the attempt for a long time. Starts beyond the maximum travel in the reply to the
+    // next heartbeat instead: the worker discards an old reply, so that no copy of it is executed
     // late.
-    if (machine.replayable_starts.size() >= kMostUnforgettable) continue;
+    if (machine.replayable_starts.size() >= kMaxReplayableStarts) continue;
     if (machine.incarnation != attempt->incarnation) {
-      void_attempts.push_back(attempt);  // never sent, and of a session that is over
+      // No start was sent, and the incarnation that the attempt was assigned to is over.
+      unsent.push_back(attempt);
       continue;
     }
     attempt->sent = true;
@@ -83,17 +87,19 @@
     append_start(machine, attempt_id, by_machine[&machine]);
   }
   for (const auto& [machine, commands] : by_machine) commands_.send(*machine, commands);
-  attempts_.release_lost(void_attempts, audit::AbsenceProof::never_sent);
+  attempts_.release_lost(unsent, audit::AbsenceProof::never_sent);
 }
 
-// An earlier attempt that ended there would make this one `busy`. The record that is durable now no
-// longer has it, so it may be forgotten.
+// Appends the start, preceded by commands to forget earlier attempts of the same task that exited
+// on this machine. A worker that still knows one of them would end the new attempt with `busy`.
+// Forgetting them loses nothing: the task record that is durable now no longer contains them. An
+// attempt whose start may still be executed late is not forgotten.
 void AttemptLauncher::append_start(const Machine& machine, const AttemptId& id,
                                    std::vector<wire::Command>& commands) {
-  for (auto ended = machine.exited.lower_bound({id.job, id.task, 0});
-       ended != machine.exited.end() && ended->task_id() == id.task_id(); ++ended)
-    if (!machine.replayable_starts.contains(*ended))
-      commands.push_back(command_for(Verb::forget, *ended));
+  for (auto exited = machine.exited.lower_bound({id.job, id.task, 0});
+       exited != machine.exited.end() && exited->task_id() == id.task_id(); ++exited)
+    if (!machine.replayable_starts.contains(*exited))
+      commands.push_back(command_for(Verb::forget, *exited));
   commands.push_back(command_for(Verb::start, id));
 }
 
--- a/src/leader/attempts/attempt_launcher.h
+++ b/src/leader/attempts/attempt_launcher.h
@@ -1,7 +1,11 @@
-// How attempts begin: charged to their machines and recorded first, started once the record is
-// durable, so that no leader to come can miss one that may run.
+// Launches attempts of tasks.
 //
-// Owns no state. Called on the loop's thread, between the term's start and its end.
+// A launch first charges each attempt to its machine and writes it to a task record. The start
+// command is sent only once that record is durable. The next leader therefore finds every attempt
+// that may be running in the task records.
+//
+// The class owns no state. It is called on the event loop's thread, between the start and the end
+// of a term.
 #pragma once
 
 #include <string>
@@ -23,8 +27,8 @@
                   TaskRecordWriter& task_records, CommandDispatcher& commands,
                   AttemptLifecycle& attempts);
 
-  // Begins the job's next attempt, with these tasks of it. A gang starts only once all of them are
-  // recorded.
+  // Begins the job's next attempt with these tasks. An array task or service task starts once its
+  // own task record is durable; a gang starts only once the records of all these tasks are durable.
   void launch(JobRecord& job, const std::vector<PlacedTask>& tasks);
 
  private:
--- a/src/leader/attempts/attempt_lifecycle.cc
+++ b/src/leader/attempts/attempt_lifecycle.cc
@@ -12,11 +12,12 @@
 using wire::ExitCause;
 
 namespace {
-// A machine on which so many jobs failed that do not fail elsewhere is returned.
-constexpr std::size_t kMostFailed = 3;
-// Retries of a failing job wait for report intervals, doubled with each failure up to this many
-// times.
-constexpr int kMostDoublings = 5;
+// A machine is drained, and then returned to the cloud, once this many jobs have failed on it
+// without having failed on other machines.
+constexpr std::size_t kMaxFailedJobs = 3;
+// The retry delay of a failing job is the heartbeat interval, doubled with each failure. This is
+// the maximum number of doublings.
+constexpr int kMaxRetryDoublings = 5;
 }  // namespace
 
 AttemptLifecycle::AttemptLifecycle(const LeaderContext& context, const JobTable& jobs,
@@ -30,26 +31,27 @@
       commands_(commands),
       hooks_(std::move(hooks)) {}
 
-// ---- Stops ----
+// ---- Stopping attempts ----
 
-// Long enough to save, and for the order to arrive.
-void AttemptLifecycle::stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason why) {
+// The grace period covers the time to save a checkpoint and the time until the stop command
+// arrives.
+void AttemptLifecycle::stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason reason) {
   const double grace_s = attempt.job->spec.save_s + context_.settings.heartbeat_interval_s / 3;
-  tracker_.stop(attempt, grace_s, why);
+  tracker_.stop(attempt, grace_s, reason);
 }
 
-void AttemptLifecycle::stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why,
-                                StopScope scope) {
+void AttemptLifecycle::stop_all(JobRecord& job, double termination_grace_s,
+                                audit::StopReason reason, StopScope scope) {
   std::vector<TaskAttempt*> sent;
   std::vector<TaskAttempt*> unsent;
   for (auto& [task, attempt] : job.attempts) {
     if (attempt.stop && scope == StopScope::not_stopping_yet) continue;
-    tracker_.stop(attempt, termination_grace_s, why);
+    tracker_.stop(attempt, termination_grace_s, reason);
     attempt.termination_grace_s = termination_grace_s;
     (attempt.sent ? sent : unsent).push_back(&attempt);
   }
   commands_.send_stops(sent);
-  // No worker was ever told of these: they are off already.
+  // No start of these attempts was ever sent, so they are proven absent.
   for (TaskAttempt* attempt : unsent) {
     audit::absent(attempt->id(), attempt->machine->name, audit::AbsenceProof::never_sent);
     release(*attempt);
@@ -61,7 +63,7 @@
   stop_all(job, 0, audit::StopReason::gang_incomplete);
 }
 
-// ---- Ends ----
+// ---- Attempts that have ended ----
 
 void AttemptLifecycle::release(TaskAttempt& attempt) {
   const std::string id = attempt.job->spec.id;
@@ -72,7 +74,8 @@
   hooks_.request_pass();
 }
 
-// Releasing the last attempt of a job can end and erase it, so that what follows goes by name.
+// Releasing the last attempt of a job can end the job and erase its JobRecord. The second loop
+// therefore finds each job again by its id.
 void AttemptLifecycle::release_lost(const std::vector<TaskAttempt*>& lost,
                                     audit::AbsenceProof proof) {
   std::set<std::string> jobs;
@@ -93,13 +96,13 @@
   release_lost(lost, proof);
 }
 
-void AttemptLifecycle::on_task_exited(TaskAttempt& attempt, const wire::TaskStatus& report) {
-  audit::exited(attempt.id(), attempt.machine->name, report.cause, attempt.stop);
+void AttemptLifecycle::on_task_exited(TaskAttempt& attempt, const wire::TaskStatus& status) {
+  audit::exited(attempt.id(), attempt.machine->name, status.cause, attempt.stop);
   audit::absent(attempt.id(), attempt.machine->name, audit::AbsenceProof::reported_ended);
-  if (report.cause == ExitCause::done) return on_task_done(attempt);
+  if (status.cause == ExitCause::done) return on_task_done(attempt);
   JobRecord& job = *attempt.job;
   Machine& machine = *attempt.machine;
-  delay_retry(job, machine, report.cause);
+  delay_retry(job, machine, status.cause);
   const std::string id = job.spec.id;
   if (machine.replayable_starts.contains(attempt.id()))
     job.unreaped_attempts.insert({attempt.task, machine.name});
@@ -109,28 +112,31 @@
 
 void AttemptLifecycle::delay_retry(JobRecord& job, Machine& machine, ExitCause cause) {
   const Ms now = context_.runtime.now();
-  const Ms pause = net::ms(context_.settings.heartbeat_interval_s);
+  const Ms heartbeat_interval = net::ms(context_.settings.heartbeat_interval_s);
   switch (cause) {
     case ExitCause::error:
       ++job.failures;
       record_failure(job, machine);
-      job.retry_at = now + std::min(pause * (1 << std::min(job.failures, kMostDoublings)),
-                                    net::ms(context_.settings.lease_s));
+      job.retry_at =
+          now + std::min(heartbeat_interval * (1 << std::min(job.failures, kMaxRetryDoublings)),
+                         net::ms(context_.settings.lease_s));
       break;
     case ExitCause::unknown:
     case ExitCause::busy:
-      job.retry_at = now + pause;
+      job.retry_at = now + heartbeat_interval;
       break;
     case ExitCause::no_room:
-      machine.quarantined_until = now + pause;
+      machine.quarantined_until = now + heartbeat_interval;
       break;
     default:
       break;
   }
 }
 
-// The machine is the likelier culprit, unless the job fails elsewhere as well, with nothing of it
-// done in between: then nothing is held against any machine that it failed on.
+// Counts the failure against the machine and quarantines it, since the machine is the likelier
+// cause. If the job has failed on another machine as well, with none of its tasks done in between,
+// the job is the likelier cause. The failure is then no longer counted against any machine on which
+// the job failed.
 void AttemptLifecycle::record_failure(JobRecord& job, Machine& machine) {
   job.failed_on.insert(machine.name);
   if (job.fails_everywhere()) {
@@ -143,7 +149,7 @@
   }
   machine.failed_jobs.insert(job.spec.id);
   machine.quarantined_until = context_.runtime.now() + net::ms(context_.settings.lease_s);
-  if (machine.failed_jobs.size() >= kMostFailed) machine.draining = true;
+  if (machine.failed_jobs.size() >= kMaxFailedJobs) machine.draining = true;
 }
 
 void AttemptLifecycle::on_task_done(TaskAttempt& attempt) {
@@ -153,7 +159,7 @@
   job.failures = 0;
   job.failed_on.clear();
   if (job.gang()) {
-    // They complete together: one that is done says so of all.
+    // All tasks of a gang complete together, so all of them are done when one is.
     for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.finish_task(task);
   } else if (job.spec.kind != wire::JobKind::service) {
     job.finish_task(attempt.task);
--- a/src/leader/attempts/attempt_lifecycle.h
+++ b/src/leader/attempts/attempt_lifecycle.h
@@ -1,8 +1,9 @@
-// How attempts are stopped, how they end, and what follows for their jobs and machines.
+// Stops attempts, handles their exits, and updates their jobs and machines accordingly.
 //
-// Owns no state: attempts belong to their JobRecord, and what they take up is charged by the
-// AttemptTracker. Called on the loop's thread, between the term's start and its end. Releasing an
-// attempt can end its job and erase it: whoever goes on after a release finds jobs by name.
+// The class owns no state: attempts belong to their JobRecord, and the AttemptTracker accounts for
+// the resources that they use. It is called on the event loop's thread, between the start and the
+// end of a term. Releasing an attempt can end its job and erase the JobRecord, so a caller must
+// find the job again by its id after a release.
 #pragma once
 
 #include <functional>
@@ -20,15 +21,15 @@
 
 namespace seampass::leader {
 
-// Which of a job's attempts are told to stop.
+// Selects which of a job's attempts receive a stop command.
 enum class StopScope {
   not_stopping_yet,
-  all,  // those that are being stopped as well, with this grace now
+  all,  // also attempts that are stopping already; the new grace period replaces theirs
 };
 
 class AttemptLifecycle {
  public:
-  // What the end of an attempt causes for its job.
+  // Calls into the other parts of the leader after an attempt has ended.
   struct Hooks {
     std::function<void(const std::string& job)> erase_if_settled;
     std::function<void(JobRecord& job)> conclude_if_complete;
@@ -39,22 +40,23 @@
                    TaskRecordWriter& task_records, Fleet& fleet, CommandDispatcher& commands,
                    Hooks hooks);
 
-  // Marks the attempt as to be stopped, with time enough to save its progress; the worker is told
-  // by CommandDispatcher::send_stops.
-  void stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason why);
-  // Stops attempts of the job, and tells the workers. Those that no worker was ever told of are
-  // released at once.
-  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason why,
+  // Marks the attempt as to be stopped, with a grace period that is long enough to save its
+  // progress. CommandDispatcher::send_stops sends the stop command to the worker.
+  void stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason reason);
+  // Stops the job's attempts and sends the stop commands to the workers. Attempts whose start was
+  // never sent are released at once.
+  void stop_all(JobRecord& job, double termination_grace_s, audit::StopReason reason,
                 StopScope scope = StopScope::not_stopping_yet);
-  // A gang's attempt is over for all its tasks once it is for one: stops the rest.
+  // Stops the remaining attempts of a gang. The caller has released one of the gang's attempts, and
+  // a gang can't continue without all of its tasks.
   void stop_incomplete_gang(JobRecord& job);
 
-  // These attempts are proven to be off their machines, and ended without a result.
+  // Releases attempts that are proven absent from their machines and ended without a result.
   void release_lost(const std::vector<TaskAttempt*>& lost, audit::AbsenceProof proof);
-  // So are all attempts on this machine.
+  // Releases all attempts on this machine, which are proven absent and ended without a result.
   void release_machine(Machine& machine, audit::AbsenceProof proof);
-  // The worker reports that this attempt has ended.
-  void on_task_exited(TaskAttempt& attempt, const wire::TaskStatus& report);
+  // Handles a worker's report that this attempt has exited.
+  void on_task_exited(TaskAttempt& attempt, const wire::TaskStatus& status);
 
  private:
   void release(TaskAttempt& attempt);
--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -9,8 +9,8 @@
 using wire::TaskState;
 
 namespace {
-// For so long a worker may take the answer to a heartbeat (by the protocol).
-constexpr Ms kAnswerLife = 4000;
+// Maximum age at which a worker accepts the reply to a heartbeat, as the protocol defines it.
+constexpr Ms kMaxReplyAge = 4000;
 }  // namespace
 
 TaskAttempt& AttemptTracker::add(JobRecord& job, std::uint32_t task, std::uint64_t number,
@@ -54,9 +54,10 @@
   if (job.running == job.spec.tasks) audit::all_running(job.spec.id);
 }
 
-void AttemptTracker::stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason why) {
+void AttemptTracker::stop(TaskAttempt& attempt, double termination_grace_s,
+                          audit::StopReason reason) {
   if (attempt.stop) return;
-  audit::stop(attempt.id(), attempt.machine->name, why);
+  audit::stop(attempt.id(), attempt.machine->name, reason);
   attempt.stop = true;
   attempt.machine->stale = true;
   attempt.termination_grace_s = termination_grace_s;
@@ -70,45 +71,51 @@
 
 bool AttemptTracker::mark_missing(Machine& machine, const std::set<TaskId>& reported,
                                   ReportSource source) {
-  bool any = false;
+  bool any_missing = false;
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task)) continue;
-    const bool session_over = attempt->incarnation != machine.incarnation;
+    const bool incarnation_over = attempt->incarnation != machine.incarnation;
     const bool disappeared = source == ReportSource::heartbeat && attempt->seen;
-    attempt->missing = attempt->missing || session_over || disappeared;
-    any = any || attempt->missing;
+    attempt->missing = attempt->missing || incarnation_over || disappeared;
+    any_missing = any_missing || attempt->missing;
   }
-  return any;
+  return any_missing;
 }
 
-// A report that lacks a task proves nothing by itself: it may have been held up since before the
-// machine ended and was back, and its incarnation and count may be above those of the machine's
-// present life, in which the task runs. (That a report has the attempt as ended does prove it:
-// attempts are numbered once.) So the machine is asked what is on it now, by a request whose answer
-// can come from nobody else.
+// A report that does not list an attempt is no proof of its absence. The report may have been
+// delayed since before the machine was restarted, and its incarnation and sequence may be higher
+// than those after the restart, while the task runs. The leader therefore inspects the machine:
+// only the machine as it is now can reply to that request. A report that lists the attempt as
+// exited does prove its absence, since no attempt number is used twice (docs/safety.md, "Why a
+// report alone never proves absence").
 std::vector<AttemptId> AttemptTracker::to_inspect(const Machine& machine) const {
   std::vector<AttemptId> ids;
   for (const auto& [task, attempt] : machine.attempts) {
-    // A start that was never seen may be on its way, in the answer to a heartbeat; the worker takes
-    // no answer that is older than this.
-    const bool settled = attempt->seen || runtime_.now() - attempt->start_sent_at > kAnswerLife;
-    if (attempt->missing && attempt->in_flight == 0 && settled) ids.push_back(attempt->id());
+    // If no report has listed the attempt yet, its start may still be in flight in the reply to a
+    // heartbeat. The worker discards a reply that is older than kMaxReplyAge.
+    const bool no_start_in_reply =
+        attempt->seen || runtime_.now() - attempt->start_sent_at > kMaxReplyAge;
+    if (attempt->missing && attempt->in_flight == 0 && no_start_in_reply)
+      ids.push_back(attempt->id());
   }
   return ids;
 }
 
-bool AttemptTracker::lease_expired(const Machine& machine, Ms began, bool confirmed,
+bool AttemptTracker::lease_expired(const Machine& machine, Ms term_start, bool epoch_confirmed,
                                    const ExpiryTimes& times) const {
-  // A worker that ended and was back at once began a lease of its own; what it was told to start
-  // since may run for as long.
+  // A worker that exits and restarts at once begins a lease of its own. A task that a command has
+  // started since then may run until that lease expires, so the last command that may have been
+  // executed counts like a heartbeat.
   const Ms now = runtime_.now();
-  if (now - std::max(machine.last_heartbeat_at, machine.last_command_ack_at) <= times.silence)
+  if (now - std::max(machine.last_heartbeat_at, machine.last_command_ack_at) <=
+      times.since_last_contact)
     return false;
   const bool in_flight = std::any_of(machine.attempts.begin(), machine.attempts.end(),
                                      [](const auto& entry) { return entry.second->in_flight > 0; });
   if (in_flight) return false;
-  // Until a worker has shown this leader's epoch, the former leader may have answered it last.
-  return confirmed || now - began > times.after_begin;
+  // Until a worker has shown this leader's epoch, the previous leader may have been the last to
+  // renew the worker's lease, and this leader does not know when.
+  return epoch_confirmed || now - term_start > times.since_term_start;
 }
 
 TaskAttempt* find_on(const Machine& machine, const AttemptId& id) {
--- a/src/leader/attempts/attempt_tracker.h
+++ b/src/leader/attempts/attempt_tracker.h
@@ -1,8 +1,10 @@
-// The attempts that take up room: which task is on which machine, what each team uses, and what
-// proves that an attempt is off its machine (docs/safety.md, "Off").
+// Tracks the attempts that use resources: which task is assigned to which machine, what each team
+// uses, and which evidence proves that an attempt is absent from its machine (docs/safety.md, "When
+// an attempt is proven absent").
 //
-// Owns each team's usage. Attempts belong to their JobRecord and are linked from their Machine;
-// this class alone adds and removes them, so that the three agree. Called on the loop's thread.
+// The class owns each team's resource usage. Attempts belong to their JobRecord, and their Machine
+// points to them. Only this class adds and removes attempts, so that the JobRecord, the Machine and
+// the usage agree. It is called on the event loop's thread.
 #pragma once
 
 #include <map>
@@ -20,41 +22,51 @@
 
 namespace seampass::leader {
 
-// How long a machine must have been silent before its worker has surely killed its tasks.
+// Minimum times after which a worker's lease has certainly expired and the worker has killed its
+// tasks.
 struct ExpiryTimes {
-  net::Ms silence = 0;      // for a worker that has shown this leader's epoch
-  net::Ms after_begin = 0;  // for any other, since this leader began
+  // Since the machine's last heartbeat, or the last command that it may have executed.
+  net::Ms since_last_contact = 0;
+  // Since this leader's term began. Required in addition for a worker that has not shown this
+  // leader's epoch.
+  net::Ms since_term_start = 0;
 };
 
-// How a worker's report came: by itself, or with the answer to a command.
+// The message that carried a worker's report (wire::Heartbeat): a heartbeat, or the reply to a
+// command.
 enum class ReportSource { heartbeat, command_answer };
 
 class AttemptTracker {
  public:
   explicit AttemptTracker(net::Runtime& runtime) : runtime_(runtime) {}
 
-  // Takes the task, its room on the machine and its share of the team's limit.
+  // Adds an attempt of the task. Marks the task as claimed and charges its resources to the machine
+  // and to the team's usage.
   TaskAttempt& add(JobRecord& job, std::uint32_t task, std::uint64_t number, Machine& machine,
                    std::uint64_t incarnation);
-  // Gives them back. The attempt no longer exists after this.
+  // Removes the attempt and releases its resources; a task that is not finished becomes unclaimed.
+  // The reference is invalid after this call.
   void remove(TaskAttempt& attempt);
   void clear() { usage_.clear(); }
 
   void set_state(TaskAttempt& attempt, wire::TaskState state);
-  // Marks it as to be stopped; the first call counts.
-  void stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason why);
+  // Marks the attempt as to be stopped. Calls after the first have no effect.
+  void stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason reason);
 
   [[nodiscard]] sched::Resources usage(const std::string& team) const;
 
-  // Notes which attempts a report of this machine lacks; true if any is missing now. A heartbeat
-  // that lacks an attempt which was seen before raises the question, as does any report of another
-  // incarnation; the answer to a command does not, since a start may be on its way beside it.
+  // Marks as missing the attempts on this machine that a report does not list; returns true if any
+  // attempt is missing now. An unlisted attempt is marked if it belongs to another incarnation than
+  // the machine's present one, or if an earlier report listed it and the source is a heartbeat. The
+  // reply to a command alone does not suffice, since a start may be in flight at the same time.
   [[nodiscard]] static bool mark_missing(Machine& machine, const std::set<TaskId>& reported,
                                          ReportSource source);
-  // The missing attempts whose absence an inspection sent now would prove.
+  // The missing attempts whose absence could be proven by an inspection that is sent now.
   [[nodiscard]] std::vector<AttemptId> to_inspect(const Machine& machine) const;
-  // True if the worker's own lease has ended, and its tasks with it.
-  [[nodiscard]] bool lease_expired(const Machine& machine, net::Ms began, bool confirmed,
+  // True if the worker's lease has certainly expired, so that the worker has killed its tasks.
+  // `term_start` is the time at which this leader's term began; `epoch_confirmed` says whether the
+  // worker has shown this leader's epoch.
+  [[nodiscard]] bool lease_expired(const Machine& machine, net::Ms term_start, bool epoch_confirmed,
                                    const ExpiryTimes& times) const;
 
  private:
@@ -62,7 +74,7 @@
   std::map<std::string, sched::Resources> usage_;  // by team
 };
 
-// The attempt with this id on this machine, if it still exists.
+// The attempt with this id on this machine; null if there is none.
 [[nodiscard]] TaskAttempt* find_on(const Machine& machine, const AttemptId& id);
 
 }  // namespace seampass::leader
