--- a/src/leader/attempts/attempt_lifecycle.cc
+++ b/src/leader/attempts/attempt_lifecycle.cc
@@ -15,8 +15,8 @@
 // A machine is drained, and then returned to the cloud, once this many jobs have failed on it
 // without having failed on other machines.
 constexpr std::size_t kMaxFailedJobs = 3;
-// The retry delay of a failing job is the heartbeat interval, doubled with each failure. This is
-// the maximum number of doublings.
+// The retry delay of a failing job is the heartbeat interval, doubled with each failure; it
+// never exceeds the lease. This is the maximum number of doublings.
 constexpr int kMaxRetryDoublings = 5;
 }  // namespace
 
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -10,23 +10,26 @@
 using jobs::Lookup;
 
 DependencyTracker::DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader,
-                                     net::Ms retry, Hooks hooks)
-    : runtime_(runtime), status_reader_(status_reader), retry_(retry), hooks_(std::move(hooks)) {}
+                                     net::Ms retry_interval, Hooks hooks)
+    : runtime_(runtime),
+      status_reader_(status_reader),
+      retry_interval_(retry_interval),
+      hooks_(std::move(hooks)) {}
 
 void DependencyTracker::end_term() {
   callbacks_.renew();
-  listed_ = false;
+  listing_complete_ = false;
   graph_.clear();
-  reading_.clear();
+  pending_reads_.clear();
 }
 
 void DependencyTracker::add(const wire::Job& job) {
   apply(job.id, graph_.add(job.id, job.priority, job.dependencies));
-  if (listed_) read_unknown();
+  if (listing_complete_) read_unknown();
 }
 
 void DependencyTracker::complete_listing() {
-  listed_ = true;
+  listing_complete_ = true;
   read_unknown();
 }
 
@@ -46,24 +49,25 @@
 void DependencyTracker::read_unknown() {
   const std::vector<std::string> unknown(graph_.unknown().begin(), graph_.unknown().end());
   for (const std::string& job : unknown)
-    if (reading_.insert(job).second) read(job);
+    if (pending_reads_.insert(job).second) read(job);
 }
 
-// Neither done nor cancelled until the store says so: whatever depends on it waits.
+// Reads the job's status, and repeats the read until the state service returns one. The job counts
+// as neither done nor cancelled until then, so that the jobs that depend on it wait.
 void DependencyTracker::read(const std::string& job) {
-  status_reader_.read_ended(job, callbacks_.wrap([this, job](const jobs::JobLookup& found) {
-    if (found.lookup == Lookup::ended) {
-      reading_.erase(job);
-      return on_final_status(job, found.status.stage);
+  status_reader_.read_ended(job, callbacks_.wrap([this, job](const jobs::JobLookup& result) {
+    if (result.lookup == Lookup::ended) {
+      pending_reads_.erase(job);
+      return on_final_status(job, result.status.stage);
     }
-    if (found.lookup == Lookup::open) {
-      reading_.erase(job);
-      return hooks_.found_open(job, found.open);
+    if (result.lookup == Lookup::open) {
+      pending_reads_.erase(job);
+      return hooks_.found_open(job, result.open);
     }
-    if (found.lookup == Lookup::not_found) audit::unknown_dependency(job);
-    runtime_.after(retry_, callbacks_.wrap([this, job] {
+    if (result.lookup == Lookup::not_found) audit::unknown_dependency(job);
+    runtime_.after(retry_interval_, callbacks_.wrap([this, job] {
       if (graph_.unknown().contains(job)) return read(job);
-      reading_.erase(job);
+      pending_reads_.erase(job);
     }));
   }));
 }
--- a/src/leader/jobs/dependency_tracker.h
+++ b/src/leader/jobs/dependency_tracker.h
@@ -1,7 +1,9 @@
-// Finds out what became of the jobs that open ones depend on.
+// Tracks the status of the jobs that open jobs depend on, and reads it from the state service where
+// it is unknown.
 //
-// Owns the graph of dependencies, and a callback scope of its own: renewed as the term ends, before
-// which hooks of the same change may end it. Called on the loop's thread.
+// The class owns the dependency graph and a callback scope, which end_term() renews. A hook may end
+// the term, so the class checks the scope before it calls the next hook of the same change. It is
+// called on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -20,23 +22,25 @@
 class DependencyTracker {
  public:
   struct Hooks {
+    // All dependencies of the job are done; `last_dependency` is the one that was done last.
     std::function<void(const std::string& job, const std::string& last_dependency)> ready;
-    // A job that it depends on is cancelled, and that is durable.
+    // A direct or indirect dependency of the job is cancelled, and its final status is durable.
     std::function<void(const std::string& job)> cancelled;
-    // An open job of which no news had come.
+    // A read found that the job is open. The leader had not received its acceptance.
     std::function<void(const std::string& job, const state::Item& open)> found_open;
   };
 
-  DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader, net::Ms retry,
-                    Hooks hooks);
+  DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader,
+                    net::Ms retry_interval, Hooks hooks);
 
+  // Drops the graph and ignores the results of all reads in flight.
   void end_term();
-  // An open job. Until the listing is complete, jobs that it names and that are not known are taken
-  // to come yet.
+  // Adds an open job. Dependencies that are unknown are read from the state service only once the
+  // listing of open jobs is complete: until then, the listing may still contain them.
   void add(const wire::Job& job);
-  // All open jobs have been listed: what is still unknown is read.
+  // All open jobs have been listed. Reads every dependency that is still unknown.
   void complete_listing();
-  // The job's final status is durable.
+  // The job's final status is durable. Calls the hooks for the jobs that depend on it.
   void on_final_status(const std::string& job, wire::Stage stage);
 
   [[nodiscard]] const sched::DependencyGraph& graph() const { return graph_; }
@@ -48,12 +52,12 @@
 
   net::Runtime& runtime_;
   jobs::JobStatusReader& status_reader_;
-  net::Ms retry_;
+  net::Ms retry_interval_;
   Hooks hooks_;
   sched::DependencyGraph graph_;
-  std::set<std::string> reading_;
+  std::set<std::string> pending_reads_;
   net::CallbackScope callbacks_;
-  bool listed_ = false;
+  bool listing_complete_ = false;
 };
 
 }  // namespace seampass::leader
--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -24,9 +24,11 @@
 void JobLifecycle::apply_open_record(const std::string& id, const wire::Json& record,
                                      state::Version version) {
   if (!context_.term.active() || parts_.jobs.contains(id)) return;
-  // News of an acceptance can be older than the job's end. (A final status that has left this cache
-  // is still found: the transaction that would assign its tasks compares ends/<id>. One that
-  // depends on a cancelled job may be known as cancelled before its end is written.)
+  // A message about an accepted job can arrive after the job has ended, so a job whose final status
+  // is known to be written is ignored. If the cache no longer has that final status, the job is
+  // added here, but none of its tasks can start: the transaction that would assign them compares
+  // ends/<id>. The check asks for a written status, since a job that depends on a cancelled job may
+  // be in the cache as cancelled before its own final status is written.
   if (parts_.status_reader.written(id)) return;
   JobRecord job;
   try {
@@ -44,7 +46,8 @@
   job.ready_ms = job.created_ms;
   audit::queued(job.spec);
   const JobRecord& added = parts_.jobs.add(std::move(job));
-  // Nobody submits such a job before all controllers are new.
+  // A job with dependencies is submitted only after all controllers run the new version, so it
+  // shows that the upgrade is complete.
   if (!added.spec.dependencies.empty()) parts_.cluster.finalize();
   parts_.dependencies.add(added.spec);
   if (parts_.dependencies.graph().ready(id)) hooks_.record_arrival(added);
@@ -62,8 +65,9 @@
   hooks_.request_pass();
 }
 
-// It never began, so there is nothing to stop. It counts as cancelled from now on, whether its own
-// end can be written or not: that follows from the records of what it depends on.
+// A job whose dependencies are not all done has no attempts, so there is nothing to stop. It counts
+// as cancelled from now on, even if its own final status can't be written, because the records of
+// its dependencies imply the cancellation.
 void JobLifecycle::cancel_dependent(const std::string& id) {
   JobRecord* job = parts_.jobs.find(id);
   if (!job || job->ended()) return;
@@ -78,11 +82,12 @@
   return parts_.dependencies.graph().cancelled(job.spec.id);
 }
 
-// ---- The end ----
+// ---- Ending a job ----
 
-// All of it is stopped, and nobody is told of a cancellation before it is off everywhere. So
-// whoever leads next, whatever is refused, lost or late then: no task is left that would have to be
-// stopped, and no start that would have to be caught.
+// Stops all attempts of the job. Clients see the cancellation only once every attempt is proven
+// absent. After a failover, the next leader therefore has no task of a cancelled job to stop and no
+// late start to prevent, even if messages are refused, lost or delayed at that time
+// (docs/safety.md, "Cancellations").
 void JobLifecycle::cancel(JobRecord& job) {
   job.advance_to(Lifecycle::stopping);
   job.reservations.clear();
@@ -100,10 +105,12 @@
   job.reservations.clear();
   const std::string id = job.spec.id;
   const wire::Stage stage = job.all_finished() ? wire::Stage::done : wire::Stage::cancelled;
-  // What is cancelled with another follows from that one's end: nobody waits for its own.
+  // If the job is cancelled because of a dependency, its cancellation follows from the final status
+  // of that dependency. No client waits for its own final status, so the write is less urgent.
   const Urgency urgency = upstream_cancelled(job) ? Urgency::progress : Urgency::final_status;
-  parts_.records.write_final_status(id, job.open_version, stage, job.finished_count, urgency,
-                                    [this, id](wire::Stage actual) { on_ended(id, actual); });
+  parts_.records.write_final_status(
+      id, job.open_version, stage, job.finished_count, urgency,
+      [this, id](wire::Stage stored_stage) { on_ended(id, stored_stage); });
 }
 
 void JobLifecycle::on_ended(const std::string& id, wire::Stage stage) {
@@ -116,17 +123,18 @@
   answer_waiters(*job, answer);
   parts_.attempts.stop_all(*job, 0, audit::StopReason::job_over);
   erase_if_settled(id);
-  // Only now that it is durable: the next leader must not find a dependent at work on a job that it
-  // does not know to be done, or queued behind one that is cancelled.
+  // The dependents are updated only now that the final status is durable. Otherwise the next leader
+  // could find a dependent running although it does not know that the dependency is done, or find a
+  // dependent queued although the dependency is cancelled.
   parts_.dependencies.on_final_status(id, stage);
   hooks_.request_pass();
 }
 
-// A cancelled job ends once every task is off; an ended one stays until then, and until its records
-// are gone.
+// A cancelled job ends once every attempt is proven absent. An ended job stays in the table until
+// every attempt is proven absent and its task records are deleted.
 void JobLifecycle::erase_if_settled(const std::string& id) {
   JobRecord* job = parts_.jobs.find(id);
-  // (An unreadable record may hold attempts that are at work.)
+  // An unreadable task record may contain attempts that are running.
   if (!job || !job->attempts.empty() || job->unreadable) return;
   if (job->lifecycle() == Lifecycle::stopping) conclude(*job);
   if (!job->ended()) return;
@@ -140,7 +148,7 @@
   erase();
 }
 
-// ---- Answers ----
+// ---- Answers to clients ----
 
 rpc::JobReply JobLifecycle::status_of(const JobRecord& job) const {
   rpc::JobReply reply;
--- a/src/leader/jobs/job_lifecycle.h
+++ b/src/leader/jobs/job_lifecycle.h
@@ -1,9 +1,11 @@
-// A job's way through the leader: accepted, ready once all that it depends on is done, concluded
-// when all of it is done or when it is cancelled, and erased when nothing of it is left.
+// Takes each job through its lifecycle in the leader. A job is accepted; it becomes ready once all
+// its dependencies are done; it is concluded once all its tasks are done or it is cancelled; and it
+// is erased once none of its attempts and task records is left.
 //
-// Owns no state beside the JobTable's records: it alone moves their Lifecycle on and answers those
-// who wait for a job's end. Called on the loop's thread, between the term's start and its end. What
-// ends a job can erase its record: callers find it again by name.
+// The class owns no state: the JobTable owns the JobRecords. Only this class advances their
+// Lifecycle and, once a job has ended, answers the waiters in its JobRecord. It is called on the
+// event loop's thread, between the start and the end of a term. A call that ends a job can erase
+// its JobRecord, so a caller must find the job again by its id afterwards.
 #pragma once
 
 #include <functional>
@@ -33,35 +35,37 @@
     ClusterVersion& cluster;
   };
   struct Hooks {
-    // The job may be scheduled from now on.
+    // The job is ready: its tasks may be scheduled from now on.
     std::function<void(const JobRecord& job)> record_arrival;
     std::function<void()> request_pass;
   };
 
   JobLifecycle(const LeaderContext& context, const Parts& parts, Hooks hooks);
 
-  // Tells all who wait that this node can't say, and drops all jobs.
+  // Answers all waiters that the job's status is unavailable on this node, and drops all jobs.
   void end_term();
 
-  // Takes a job that is open in the store; does nothing if it is known here, or known to have
-  // ended.
+  // Adds a job that is open in the state service. Has no effect if the job is in the table, or if
+  // its final status is known to be written.
   void apply_open_record(const std::string& id, const wire::Json& record, state::Version version);
-  // All that it depends on is done, this one last.
+  // All dependencies of the job are done; `last_dependency` is the one that was done last.
   void on_ready(const std::string& id, const std::string& last_dependency) const;
-  // A job that it depends on is cancelled.
+  // Cancels a job because a job that it depends on is cancelled.
   void cancel_dependent(const std::string& id);
-  // Its user wants it cancelled; it must be active.
+  // Cancels a job at its user's request. The job must be active.
   void cancel(JobRecord& job);
+  // Writes the job's final status if all its tasks are done and it is not being written yet.
   void conclude_if_complete(JobRecord& job);
-  // The final status in the store is this one, whoever wrote it.
+  // This stage is the job's final status in the state service, no matter which node wrote it.
   void on_ended(const std::string& id, wire::Stage stage);
-  // Goes on with a job that is to end once nothing of it is at work: writes its final status, and
-  // forgets it when that is durable and its records are gone.
+  // Continues to end a job that has no attempts left. Writes the final status of a job that is
+  // stopping. Erases a job whose final status is durable, once its task records are deleted.
   void erase_if_settled(const std::string& id);
 
-  // What a user is told of the job.
+  // The status of the job as a client sees it.
   [[nodiscard]] rpc::JobReply status_of(const JobRecord& job) const;
-  // A job that it depends on is cancelled, durably: so is this one for whoever asks, from then on.
+  // True if a direct or indirect dependency of the job is cancelled and that is durable. From then
+  // on, clients see this job as cancelled too.
   [[nodiscard]] bool upstream_cancelled(const JobRecord& job) const;
 
  private:
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -1,7 +1,8 @@
-// What the leader knows of a job and of the attempts of its tasks.
+// The leader's in-memory state of a job and of the attempts of its tasks.
 //
-// Plain records, owned by the JobTable. Times of type net::Ms are in milliseconds of the steady
-// clock, those of type std::int64_t in milliseconds of the time of day; those in `_s` are seconds.
+// The structs are plain records, owned by the JobTable and used on the event loop's thread. Times
+// of type net::Ms are in milliseconds of the steady clock, and times of type std::int64_t are in
+// milliseconds of the wall clock. A name that ends in `_s` is a duration in seconds.
 #pragma once
 
 #include <algorithm>
@@ -24,82 +25,90 @@
 
 struct JobRecord;
 
-// One attempt of one task on one machine, from its durable record until it is known to be off
-// (docs/safety.md, "Off").
+// One attempt of one task on one machine. It exists from its assignment to the machine until it is
+// proven absent from it (docs/safety.md, "When an attempt is proven absent").
 struct TaskAttempt {
   JobRecord* job = nullptr;
   std::uint32_t task = 0;
   std::uint64_t number = 0;
   Machine* machine = nullptr;
   std::uint64_t incarnation = 0;
-  bool durable = false;  // so is the record that has it: it may be started
+  bool durable = false;  // the task record that contains the attempt is durable: it may be started
   bool sent = false;     // a start may have reached the worker
-  bool seen = false;     // a report of its worker had it
-  bool missing = false;  // a report lacked it; not confirmed yet
-  int in_flight = 0;     // starts on their way through /commands
+  bool seen = false;     // a report of the worker has listed the attempt
+  bool missing = false;  // a report did not list it; its absence is not proven yet
+  int in_flight = 0;     // starts sent to /commands whose outcome is not known yet
   net::Ms start_sent_at = 0;
   wire::TaskState state = wire::TaskState::fetching;
   net::Ms running_since = 0;
-  bool stop = false;  // it is to stop
+  bool stop = false;  // the attempt is to be stopped
   double termination_grace_s = 0;
   net::Ms stop_since = 0;
 
   [[nodiscard]] AttemptId id() const;
 };
 
-// A job's way from its acceptance to its end; it only goes forward.
+// The lifecycle of an accepted job. A job never returns to an earlier value.
 enum class Lifecycle {
+  // Tasks of the job may be started.
   active,
-  // Cancelled, or all of it is done: nothing of it is started any more.
+  // The job is cancelled. None of its tasks is started, and its attempts are being stopped.
   stopping,
-  // Its final status is with the record store, and not known to be durable.
+  // The RecordStore has the job's final status, which is not known to be durable yet.
   writing_final_status,
-  // Its final status is durable.
+  // The job's final status is durable.
   ended,
 };
 
 struct JobRecord {
   wire::Job spec;
   std::int64_t created_ms = 0;
-  std::int64_t ready_ms = 0;  // when the last job that it depends on was done; else its creation
+  // When the last dependency was done; for a job without dependencies, its creation.
+  std::int64_t ready_ms = 0;
   state::Version open_version = 0;
   std::uint64_t last_attempt = 0;
-  std::vector<bool> claimed;  // finished, or has an attempt
-  std::vector<bool> finished;
+  std::vector<bool> claimed;   // by task: finished, or has an attempt
+  std::vector<bool> finished;  // by task
   std::uint32_t finished_count = 0;
-  std::uint32_t first_unclaimed_task = 0;  // no task before this one is free
-  std::map<std::uint32_t, TaskAttempt> attempts;
-  std::uint32_t running = 0;
-  net::Ms retry_at = 0;
-  int failures = 0;  // since a task of it was done, and on which machines
-  std::set<std::string> failed_on;
-  // Task and machine where an attempt ended without a result and is not forgotten.
+  std::uint32_t first_unclaimed_task = 0;         // all tasks below this index are claimed
+  std::map<std::uint32_t, TaskAttempt> attempts;  // by task
+  std::uint32_t running = 0;                      // attempts in TaskState::running
+  net::Ms retry_at = 0;                           // no task is started before this time
+  int failures = 0;                               // attempts that failed since a task was last done
+  std::set<std::string> failed_on;                // machines on which they failed
+  // Task and machine of each attempt that ended without a result and that the worker must not
+  // forget yet, since its start may still be executed late.
   std::set<std::pair<std::uint32_t, std::string>> unreaped_attempts;
-  // Gangs.
+  // Of gangs only: the reserved machine of each task.
   std::vector<std::pair<std::uint32_t, std::string>> reservations;
   net::Ms reservations_since = 0;
-  bool all_or_nothing = false;  // timed out once
-  std::string reserved_zone;    // where its room is kept since then, if anywhere
+  // True once the reservations have timed out: the gang is then placed as a whole or not at all.
+  bool all_or_nothing = false;
+  // The zone whose capacity is reserved for the gang after that timeout; empty if there is none.
+  std::string reserved_zone;
   net::Ms zone_reserved_since = 0;
-  // A durable record of its attempts can't be read: nothing of it may be started.
+  // A durable task record of the job can't be read, so none of its tasks may be started.
   bool unreadable = false;
-  wire::Stage stage = wire::Stage::queued;  // how it ended; queued: not known, or not yet
-  // Who waits for its end.
+  // The final stage of an ended job; `queued` if the job has not ended or its final stage is
+  // unknown.
+  wire::Stage stage = wire::Stage::queued;
+  // Callbacks that answer clients once the job has ended.
   std::vector<std::function<void(const rpc::JobReply&)>> waiters;
 
-  // Its tasks failed on more than one machine, with nothing of it done in between.
+  // True if tasks of the job failed on more than one machine, with none of its tasks done in
+  // between.
   [[nodiscard]] bool fails_everywhere() const { return failed_on.size() > 1; }
   [[nodiscard]] bool gang() const { return spec.kind == wire::JobKind::gang; }
 
-  // Tasks of it may be started.
+  // True if tasks of the job may be started.
   [[nodiscard]] bool active() const { return lifecycle_ == Lifecycle::active; }
-  // Its final status was handed to the record store, or found in it.
+  // True if the final status was passed to the RecordStore, or was found in the state service.
   [[nodiscard]] bool final_status_written() const {
     return lifecycle_ >= Lifecycle::writing_final_status;
   }
   [[nodiscard]] bool ended() const { return lifecycle_ == Lifecycle::ended; }
   [[nodiscard]] Lifecycle lifecycle() const { return lifecycle_; }
-  // Goes on to this stage of its life; a job that is further already stays there.
+  // Advances the lifecycle to `next`. Has no effect if the job is there or further already.
   void advance_to(Lifecycle next) { lifecycle_ = std::max(lifecycle_, next); }
 
   [[nodiscard]] bool all_finished() const { return finished_count == spec.tasks; }
--- a/src/leader/jobs/job_request_handler.h
+++ b/src/leader/jobs/job_request_handler.h
@@ -1,7 +1,8 @@
-// Answers to polls and cancellations of jobs, as far as this leader can tell.
+// Answers polls and cancellations of jobs, from the leader's memory or from the state service.
 //
-// Owns no state: who waits for a cancellation waits at the JobRecord. Called on the loop's thread
-// at any time; an empty reply (rpc::Lookup::unavailable) says that this node can't tell.
+// The class owns no state: the JobRecord has the callbacks that wait for a cancellation. It is
+// called on the event loop's thread at any time. An empty reply (rpc::Lookup::unavailable) means
+// that this node can't answer; the client has to ask again.
 #pragma once
 
 #include <functional>
@@ -19,7 +20,7 @@
 
 enum class JobRequestKind { poll, cancellation };
 
-// Of a request without a record; one with a record asks for an acceptance.
+// The kind of a request that has no record. (A request with a record submits a job.)
 [[nodiscard]] inline JobRequestKind kind_of(const rpc::JobRequest& request) {
   return request.cancel ? JobRequestKind::cancellation : JobRequestKind::poll;
 }
@@ -32,17 +33,20 @@
                     const DependencyTracker& dependencies, jobs::JobStatusReader& status_reader,
                     JobLifecycle& lifecycle);
 
-  // A cancellation is answered once nothing of the job is at work; whoever asked is told after a
-  // third of a report interval to come again.
+  // Calls `reply` once with the answer. A cancellation is answered once the job has ended, which
+  // needs all its attempts to be proven absent. If that takes longer than a third of the heartbeat
+  // interval, the reply is empty and the cancellation continues.
   void handle(const std::string& id, JobRequestKind kind, Reply reply);
 
  private:
   void answer_poll(const JobRecord& job, const Reply& reply) const;
   void cancel(JobRecord& job, Reply reply);
-  // A job that this leader does not know, or knows no stage of: what the store says counts.
+  // Answers from the state service, for a job that is not in the table or whose final stage is not
+  // known here.
   void look_up(const std::string& id, JobRequestKind kind, Reply reply);
-  // Whether its state can be told from memory: nothing upstream is unknown or in doubt.
-  [[nodiscard]] bool upstream_certain(const std::string& id) const;
+  // True if the status of every job upstream is known here, so that this job's status can be
+  // answered from memory.
+  [[nodiscard]] bool upstream_known(const std::string& id) const;
 
   LeaderContext context_;
   const JobTable& jobs_;
--- a/src/leader/jobs/job_table.cc
+++ b/src/leader/jobs/job_table.cc
@@ -5,8 +5,8 @@
 namespace seampass::leader {
 
 JobRecord* JobTable::find(const std::string& id) const {
-  const auto found = jobs_.find(id);
-  return found == jobs_.end() ? nullptr : found->second.get();
+  const auto entry = jobs_.find(id);
+  return entry == jobs_.end() ? nullptr : entry->second.get();
 }
 
 TaskAttempt* JobTable::find_attempt(const std::string& job, std::uint32_t task) const {
--- a/src/leader/jobs/open_record.h
+++ b/src/leader/jobs/open_record.h
@@ -1,4 +1,5 @@
-// The stored form of a job that was accepted and has not ended: the value under open/<job>.
+// Encodes and decodes the stored record of an open job, which is one that was accepted and has not
+// ended. The record is the value under the key open/<job>.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +11,12 @@
 
 struct OpenRecord {
   wire::Job job;
-  std::int64_t created_ms = 0;  // when it was accepted, by the time of day
+  std::int64_t created_ms = 0;  // when the job was accepted, in milliseconds of the wall clock
 };
 
 [[nodiscard]] wire::Json encode_open_record(const wire::Job& job, std::int64_t created_ms);
-// Throws an exception derived from std::exception (wire::Malformed or the JSON library's) if the
-// value has not this form.
+// Throws an exception derived from std::exception (wire::Malformed, or one of the JSON library) if
+// the value is not such a record.
 [[nodiscard]] OpenRecord decode_open_record(const wire::Json& value);
 
 }  // namespace seampass::leader
