--- a/src/leader/workers/command_dispatcher.cc
+++ b/src/leader/workers/command_dispatcher.cc
@@ -30,35 +30,36 @@
 
 void CommandDispatcher::send(Machine& machine, const std::vector<wire::Command>& commands) {
   if (machine.addr.empty() || !machine.registered) return;
-  std::vector<AttemptId> starts;
+  std::vector<AttemptId> start_ids;
   for (const wire::Command& command : commands)
-    if (command.verb == Verb::start) starts.push_back(id_of(command));
-  machine.replayable_starts.insert(starts.begin(), starts.end());
-  // A worker that began a new session just now runs what it is told until its own lease is over,
-  // whether its answer comes or not.
-  if (!starts.empty()) machine.last_command_ack_at = context_.runtime.now();
+    if (command.verb == Verb::start) start_ids.push_back(id_of(command));
+  machine.replayable_starts.insert(start_ids.begin(), start_ids.end());
+  // A worker that has just begun a new incarnation runs the tasks that it is commanded to start
+  // until its own lease expires, whether or not its reply arrives. Sending a start therefore counts
+  // as contact with the worker (AttemptTracker::lease_expired).
+  if (!start_ids.empty()) machine.last_command_ack_at = context_.runtime.now();
   workers_.send(machine.addr, context_.election.epoch(), machine.incarnation, commands,
                 context_.term.callbacks().wrap(
-                    [this, name = machine.name, starts](
-                        workers::Sent sent, const std::optional<wire::Heartbeat>& report) {
-                      on_answer(name, starts, sent, report);
+                    [this, name = machine.name, start_ids](
+                        workers::Sent outcome, const std::optional<wire::Heartbeat>& report) {
+                      on_reply(name, start_ids, outcome, report);
                     }));
 }
 
-void CommandDispatcher::on_answer(const std::string& name, const std::vector<AttemptId>& starts,
-                                  workers::Sent sent,
-                                  const std::optional<wire::Heartbeat>& report) {
-  for (const AttemptId& id : starts)
+void CommandDispatcher::on_reply(const std::string& name, const std::vector<AttemptId>& start_ids,
+                                 workers::Sent outcome,
+                                 const std::optional<wire::Heartbeat>& report) {
+  for (const AttemptId& id : start_ids)
     if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->in_flight;
   Machine* machine = fleet_.find(name);
   if (!machine) return;
-  // Certainly not executed, and no copy of it ever will be.
-  if (sent == workers::Sent::not_sent || sent == workers::Sent::rejected)
-    for (const AttemptId& id : starts) machine->replayable_starts.erase(id);
-  const bool may_run = sent == workers::Sent::unknown && !starts.empty();
-  if (sent == workers::Sent::executed || may_run)
+  // The commands were certainly not executed, and no late copy of them can be.
+  if (outcome == workers::Sent::not_sent || outcome == workers::Sent::rejected)
+    for (const AttemptId& id : start_ids) machine->replayable_starts.erase(id);
+  const bool may_be_executed = outcome == workers::Sent::unknown && !start_ids.empty();
+  if (outcome == workers::Sent::executed || may_be_executed)
     machine->last_command_ack_at = context_.runtime.now();
-  if (sent == workers::Sent::unknown || sent == workers::Sent::not_sent) {
+  if (outcome == workers::Sent::unknown || outcome == workers::Sent::not_sent) {
     on_unanswered(*machine);
   } else {
     machine->unresponsive_since.reset();
@@ -69,15 +70,16 @@
   on_report_(*machine, *report);
 }
 
-// A machine's reports can arrive while nothing that is sent to it does. New starts avoid it for a
-// while; if it is the same then, it takes nothing more, and is returned once nothing is known to
+// A network fault can let a machine's heartbeats through while no request reaches the machine. The
+// machine is quarantined, so that no new attempts are placed on it. If it is still unresponsive
+// after half a lease, it is drained, and it is returned to the cloud once no attempt is known to
 // run on it.
 void CommandDispatcher::on_unanswered(Machine& machine) {
   const Ms now = context_.runtime.now();
-  const Ms pause = net::ms(context_.settings.lease_s) / 2;
-  machine.quarantined_until = std::max(machine.quarantined_until, now + pause);
+  const Ms half_lease = net::ms(context_.settings.lease_s) / 2;
+  machine.quarantined_until = std::max(machine.quarantined_until, now + half_lease);
   if (!machine.unresponsive_since) machine.unresponsive_since = now;
-  if (now - *machine.unresponsive_since < pause || machine.deleting) return;
+  if (now - *machine.unresponsive_since < half_lease || machine.deleting) return;
   machine.draining = true;
   const bool idle =
       std::none_of(machine.attempts.begin(), machine.attempts.end(),
--- a/src/leader/workers/command_dispatcher.h
+++ b/src/leader/workers/command_dispatcher.h
@@ -1,7 +1,8 @@
-// Commands to workers, and what their answers and their silence mean for the machine.
+// Sends commands to workers, and updates the machine after a reply or the lack of one.
 //
-// Owns no state: what was sent is noted at the Machine and the TaskAttempt, and what waits for its
-// turn lies in workers::Client. Called on the loop's thread, between the term's start and its end.
+// The class owns no state: the Machine and the TaskAttempt record which commands were sent, and
+// workers::Client owns the queue of commands that are not sent yet. The class is called on the
+// event loop's thread, between the start and the end of a term.
 #pragma once
 
 #include <functional>
@@ -20,25 +21,27 @@
 
 class CommandDispatcher {
  public:
-  // Takes the report that the answer to a command carries.
+  // Receives the worker's report (wire::Heartbeat) from the reply to a command.
   using OnReport = std::function<void(Machine& machine, const wire::Heartbeat& report)>;
 
   CommandDispatcher(const LeaderContext& context, workers::Client& workers, Fleet& fleet,
                     const JobTable& jobs, OnReport on_report);
 
-  // Drops what has not left yet.
+  // Drops the commands that are queued and not sent yet.
   void end_term() { workers_.drop_queued(); }
 
-  // A machine that can't be reached yet gets the commands in the answer to its next heartbeat.
+  // Sends the commands to the machine's worker in one request. Sends nothing to a machine that has
+  // no address yet or has not shown this leader's epoch: the reply to its next heartbeat contains
+  // the commands.
   void send(Machine& machine, const std::vector<wire::Command>& commands);
-  // Tells the workers of attempts that are marked as to be stopped: one message a machine.
+  // Sends stop commands for attempts that are marked as to be stopped, in one request per machine.
   void send_stops(const std::vector<TaskAttempt*>& attempts);
-  // The machine has not answered a command or an inspection.
+  // Handles a command or an inspection to which the machine has not replied.
   void on_unanswered(Machine& machine);
 
  private:
-  void on_answer(const std::string& name, const std::vector<AttemptId>& starts, workers::Sent sent,
-                 const std::optional<wire::Heartbeat>& report);
+  void on_reply(const std::string& name, const std::vector<AttemptId>& start_ids,
+                workers::Sent outcome, const std::optional<wire::Heartbeat>& report);
 
   LeaderContext context_;
   workers::Client& workers_;
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -14,15 +14,16 @@
 
 namespace {
 
-HeartbeatReply refusal() { return {503, "{}"}; }
+HeartbeatReply service_unavailable() { return {503, "{}"}; }
 
-// What the machine is, as far as the list of the cloud has not said it yet.
-void describe(Machine& machine, const wire::Heartbeat& report) {
+// Copies the machine's address, type, zone and spot flag from the heartbeat, if the cloud's list of
+// machines has not provided both its type and its address yet.
+void copy_description(Machine& machine, const wire::Heartbeat& heartbeat) {
   if (!machine.type.empty() && !machine.addr.empty()) return;
-  machine.addr = report.addr;
-  machine.type = report.type;
-  machine.zone = report.zone;
-  machine.spot = report.spot;
+  machine.addr = heartbeat.addr;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
 }
 
 }  // namespace
@@ -38,51 +39,61 @@
       status_reader_(status_reader),
       reconciler_(reconciler) {}
 
-HeartbeatReply HeartbeatHandler::handle(const wire::Heartbeat& report) {
+HeartbeatReply HeartbeatHandler::handle(const wire::Heartbeat& heartbeat) {
   Election& election = context_.election;
-  if (!context_.term.active() || !election.may_answer()) return refusal();
-  if (report.token > election.epoch()) {  // another leads already
+  if (!context_.term.active() || !election.may_answer()) return service_unavailable();
+  if (heartbeat.token > election.epoch()) {  // a newer leader has been elected
     election.step_down(audit::StepDownReason::worker_shows_higher_epoch);
-    return refusal();
+    return service_unavailable();
   }
-  if (fleet_.deleted(report.machine)) return refusal();  // only late reports come from it
-  Machine& machine = fleet_.ensure(report.machine);
-  describe(machine, report);
-  if (report.token < election.epoch()) return answer_unconfirmed(machine, report);
-  if (report.incarnation < machine.incarnation) return refusal();
-  // A copy that comes late is no sign of life: its worker got the answer to the first, or none. But
-  // it may also be a machine that ended and was back at once, counting from the start again. So it
-  // gets no answer that renews a lease: every report that does must count as a sign of life.
-  const std::pair position{report.incarnation, report.sequence};
-  if (position <= machine.last_heartbeat) return refusal();
+  if (fleet_.deleted(heartbeat.machine)) return service_unavailable();  // can only be a late copy
+  Machine& machine = fleet_.ensure(heartbeat.machine);
+  copy_description(machine, heartbeat);
+  if (heartbeat.token < election.epoch()) return reply_to_unconfirmed(machine, heartbeat);
+  if (heartbeat.incarnation < machine.incarnation) return service_unavailable();
+  // A heartbeat that is not newer than the last one may be a late copy, which does not show that
+  // the worker is alive: the worker has received the reply to the first copy, or none. It may also
+  // come from a machine that restarted at once and counts its incarnation and sequence from the
+  // start again. The leader can't tell these two cases apart, so it does not count the heartbeat as
+  // contact with the worker. It must not send a reply that renews the lease either, since every
+  // heartbeat that gets such a reply must count as contact.
+  const std::pair position{heartbeat.incarnation, heartbeat.sequence};
+  if (position <= machine.last_heartbeat) return service_unavailable();
   machine.last_heartbeat = position;
   machine.note_heartbeat(context_.runtime.now());
-  // (The answer to a command may have overtaken it.)
-  if (!context_.term.recovered() || !is_newer(report, machine))
+  // The reply to a command may already have brought a newer report than this heartbeat.
+  if (!context_.term.recovered() || !is_newer(heartbeat, machine))
     return {200, wire::heartbeat_answer(election.epoch(), {})};
-  reconciler_.reconcile(machine, report, ReportSource::heartbeat);
-  return {200, wire::heartbeat_answer(election.epoch(), commands_for(machine, report))};
+  reconciler_.reconcile(machine, heartbeat, ReportSource::heartbeat);
+  return {200, wire::heartbeat_answer(election.epoch(), commands_for(machine, heartbeat))};
 }
 
-// The worker has seen no message of this leader yet. Or the report is a late copy, perhaps from an
-// earlier session of the machine with more sessions than this one: so it is answered, for the
-// worker to learn the epoch, and proves nothing. A worker keeps the highest epoch that it has seen;
-// a report that shows less than before is a copy, or comes from a worker that began a new session,
-// and what that one had is released like that of any silent machine.
-HeartbeatReply HeartbeatHandler::answer_unconfirmed(Machine& machine,
-                                                    const wire::Heartbeat& report) const {
-  const std::pair position{report.incarnation, report.sequence};
-  if (report.token < machine.token || position == machine.last_unconfirmed_heartbeat)
-    return refusal();
+// Replies to a heartbeat that shows a lower epoch than this leader's. Either the worker has
+// received no message of this leader yet, or the heartbeat is a late copy, perhaps from an earlier
+// life of the machine that had reached a higher incarnation. The leader replies so that the worker
+// learns the epoch, but the heartbeat proves nothing about attempts.
+//
+// A worker keeps the highest epoch that it has seen. A heartbeat that shows a lower epoch than an
+// earlier one is therefore a late copy, or comes from a worker that has begun a new incarnation. It
+// gets no epoch. The attempts of the earlier incarnation are then released when the lease expires,
+// as on any machine that sends no heartbeats (docs/safety.md, "Only reports that show our epoch
+// prove anything").
+HeartbeatReply HeartbeatHandler::reply_to_unconfirmed(Machine& machine,
+                                                      const wire::Heartbeat& heartbeat) const {
+  const std::pair position{heartbeat.incarnation, heartbeat.sequence};
+  if (heartbeat.token < machine.token || position == machine.last_unconfirmed_heartbeat)
+    return service_unavailable();
   machine.last_unconfirmed_heartbeat = position;
   machine.note_heartbeat(context_.runtime.now());
   return {200, wire::heartbeat_answer(context_.election.epoch(), {})};
 }
 
-// A late copy of a start finds the attempt for as long as the worker knows it, and does nothing.
-// Once it is forgotten the copy would start it again: an attempt that ended without a result while
-// another runs elsewhere, and any of a cancelled job. (One that is done would only say so again,
-// but its job may be cancelled yet.)
+// True if the worker may be commanded to forget an attempt that has exited. A worker ignores a late
+// copy of a start for as long as it knows the attempt. If it has forgotten the attempt, the
+// copy starts the attempt again. An attempt that ended without a result could then run while
+// another attempt of the task runs elsewhere, and any attempt of a cancelled job could run again.
+// An attempt that is done would only be reported as done again, but its job may still be cancelled.
+// It may therefore be forgotten only once the job's final status is `done`.
 bool HeartbeatHandler::may_forget(const Machine& machine, const wire::TaskStatus& task) const {
   if (!machine.replayable_starts.contains(id_of(task))) return true;
   if (task.cause != ExitCause::done) return false;
@@ -93,15 +104,15 @@
 }
 
 std::vector<wire::Command> HeartbeatHandler::commands_for(Machine& machine,
-                                                          const wire::Heartbeat& report) const {
+                                                          const wire::Heartbeat& heartbeat) const {
   std::vector<wire::Command> commands;
   std::set<TaskId> reported;
   const Ms now = context_.runtime.now();
-  for (const wire::TaskStatus& task : report.tasks) {
+  for (const wire::TaskStatus& task : heartbeat.tasks) {
     const AttemptId id = id_of(task);
     const TaskAttempt* attempt = find_on(machine, id);
     if (task.state == TaskState::exited) {
-      // Forgotten only after the record of its end is durable.
+      // The worker may forget the attempt only once the task record without it is durable.
       if (!attempt && task_records_.record_settled(id.job, id.task) && may_forget(machine, task)) {
         machine.replayable_starts.erase(id);
         commands.push_back(command_for(Verb::forget, id));
@@ -119,15 +130,17 @@
   return commands;
 }
 
-// Said again with each report until it is off; without grace once it should have been long since.
+// The stop command is repeated in the reply to each heartbeat until the attempt is absent. Its
+// grace period is 0 once the attempt should have ended already.
 wire::Command HeartbeatHandler::stop_command(const TaskAttempt& attempt, Ms now) const {
-  const Ms allowed = net::ms(attempt.termination_grace_s + 2 * context_.settings.gang_peer_s);
-  const bool overdue = now - attempt.stop_since > allowed;
+  const Ms max_stop_time = net::ms(attempt.termination_grace_s + 2 * context_.settings.gang_peer_s);
+  const bool overdue = now - attempt.stop_since > max_stop_time;
   return command_for(Verb::stop, attempt.id(), overdue ? 0 : attempt.termination_grace_s);
 }
 
-// Starts that the worker has not shown yet. In the answer to a heartbeat they need no guard against
-// late copies: the worker takes no answer that is older than a few seconds.
+// Appends the starts of attempts that no report has listed yet. Starts in the reply to a
+// heartbeat need no guard against late copies: the worker discards a reply that is older than a few
+// seconds.
 void HeartbeatHandler::append_starts(Machine& machine, const std::set<TaskId>& reported,
                                      std::vector<wire::Command>& commands) const {
   for (const auto& [task, attempt] : machine.attempts) {
@@ -139,9 +152,9 @@
                  audit::StartPath::heartbeat);
     commands.push_back(command_for(Verb::start, attempt->id()));
     if (attempt->stop) {
-      // It was never seen, and its start may come at any time. Started and stopped in one go, the
-      // attempt is known to the worker, the late start does nothing, and the next report has it as
-      // ended.
+      // No report has listed this attempt yet, and its start may arrive at any time. The reply
+      // therefore starts and stops the attempt in one message. The worker then knows the attempt
+      // and ignores a late start, and its next heartbeat lists the attempt as exited.
       commands.push_back(command_for(Verb::stop, attempt->id()));
     } else {
       attempt->sent = true;
--- a/src/leader/workers/heartbeat_handler.h
+++ b/src/leader/workers/heartbeat_handler.h
@@ -1,8 +1,10 @@
-// Which reports of workers count, and what each is answered.
+// Decides which heartbeats the leader accepts, and replies to each heartbeat.
 //
-// An answer with this leader's epoch renews the worker's lease, so that every report that gets one
-// counts as a sign of life. Owns no state: the last report is noted at the Machine. Called on the
-// loop's thread at any time, whether a term is on or not.
+// A reply that contains this leader's epoch renews the worker's lease. Every heartbeat that gets
+// such a reply therefore counts as the machine's last contact (Machine::note_heartbeat); otherwise
+// the leader could consider a lease expired that the worker still holds. The class owns no state:
+// the Machine records its last heartbeats. The class is called on the event loop's thread at any
+// time, whether a term is active or not.
 #pragma once
 
 #include <set>
@@ -20,7 +22,8 @@
 
 namespace seampass::leader {
 
-// The status and body of an HTTP answer. 503: this node does not answer the report.
+// The status and body of an HTTP response. Status 503 means that this node does not accept the
+// heartbeat; the response then contains no epoch and renews no lease.
 struct HeartbeatReply {
   int status = 503;
   std::string body;
@@ -32,14 +35,15 @@
                    const TaskRecordWriter& task_records, jobs::JobStatusReader& status_reader,
                    HeartbeatReconciler& reconciler);
 
-  [[nodiscard]] HeartbeatReply handle(const wire::Heartbeat& report);
+  // Returns the reply to a heartbeat that a worker has sent.
+  [[nodiscard]] HeartbeatReply handle(const wire::Heartbeat& heartbeat);
 
  private:
-  [[nodiscard]] HeartbeatReply answer_unconfirmed(Machine& machine,
-                                                  const wire::Heartbeat& report) const;
+  [[nodiscard]] HeartbeatReply reply_to_unconfirmed(Machine& machine,
+                                                    const wire::Heartbeat& heartbeat) const;
   [[nodiscard]] bool may_forget(const Machine& machine, const wire::TaskStatus& task) const;
   [[nodiscard]] std::vector<wire::Command> commands_for(Machine& machine,
-                                                        const wire::Heartbeat& report) const;
+                                                        const wire::Heartbeat& heartbeat) const;
   [[nodiscard]] wire::Command stop_command(const TaskAttempt& attempt, net::Ms now) const;
   void append_starts(Machine& machine, const std::set<TaskId>& reported,
                      std::vector<wire::Command>& commands) const;
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -59,7 +59,7 @@
   machine.incarnation = report.incarnation;
   machine.sequence = report.sequence;
   machine.token = report.token;
-  if (!machine.registered) {  // it lives now, and this leader's messages reach it
+  if (!machine.registered) {  // the worker is alive and has received a message of this leader
     machine.registered = true;
     machine.idle_since = context_.runtime.now();
     hooks_.request_pass();
@@ -68,9 +68,10 @@
   if (report.notice_s) machine.preemption_at = context_.runtime.now() + net::ms(*report.notice_s);
 }
 
-// A task that should not be on this machine. If its job is open and the task free, the attempt is
-// recorded again, so that the task is started nowhere else; in any case the machine takes nothing
-// until it is settled.
+// Handles a reported task for which the leader has no attempt on this machine. If the job is in the
+// table and the task has no attempt, the reported attempt is added and recorded again, so that the
+// task is started nowhere else. Otherwise the task is counted in Machine::unknown_tasks, and no new
+// attempts are placed on the machine while that count is not zero.
 TaskAttempt* HeartbeatReconciler::adopt(Machine& machine, const AttemptId& id) {
   JobRecord* job = parts_.jobs.find(id.job);
   if (!job || id.task >= job->spec.tasks || job->attempts.contains(id.task)) {
@@ -87,7 +88,8 @@
   return &attempt;
 }
 
-// Releasing can end jobs and move others, so this goes by name.
+// Handles the attempts that the report lists as exited. Releasing an attempt can end and erase jobs
+// and change other attempts, so both loops find attempts and jobs again by their ids.
 void HeartbeatReconciler::apply_exits(Machine& machine,
                                       const std::vector<const wire::TaskStatus*>& exited) {
   std::set<std::string> jobs;
--- a/src/leader/workers/heartbeat_reconciler.h
+++ b/src/leader/workers/heartbeat_reconciler.h
@@ -1,7 +1,8 @@
-// Brings what the leader knows of a machine and its attempts in line with the worker's report.
+// Updates the leader's state of a machine and its attempts from the worker's report.
 //
-// Owns no state: what a report changes belongs to the Machine and to the attempts. Called on the
-// loop's thread, between the term's start and its end.
+// A report (wire::Heartbeat) arrives as a heartbeat or in the reply to a command. The class owns no
+// state: it changes the Machine and the attempts. It is called on the event loop's thread, between
+// the start and the end of a term.
 #pragma once
 
 #include <functional>
@@ -18,7 +19,8 @@
 
 namespace seampass::leader {
 
-// Whether the report is newer than the last one that was taken from this machine.
+// True if the report is newer than the last one that was applied to this machine: its incarnation
+// is higher, or the incarnation is the same and its sequence is higher.
 [[nodiscard]] bool is_newer(const wire::Heartbeat& report, const Machine& machine);
 
 class HeartbeatReconciler {
@@ -38,7 +40,8 @@
 
   HeartbeatReconciler(const LeaderContext& context, const Parts& parts, Hooks hooks);
 
-  // Ignores a report that is no newer than the last, or of a worker that has not seen this epoch.
+  // Applies a report. Ignores a report that is not newer than the last one applied, and one from a
+  // worker that has not seen this leader's epoch.
   void reconcile(Machine& machine, const wire::Heartbeat& report, ReportSource source);
 
  private:
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -1,4 +1,5 @@
-// The tracker of attempts beside a plain list of them, and the proofs that one is off its machine.
+// Tests of the AttemptTracker: its bookkeeping against a simple reference model, and the evidence
+// that proves an attempt absent from its machine.
 #include "leader/attempts/attempt_tracker.h"
 
 #include <gtest/gtest.h>
@@ -34,8 +35,8 @@
   AttemptTracker tracker;
 };
 
-// What is charged where, as a list that is searched from end to end.
-struct PlainAttempt {
+// One attempt of the reference model, which is an unsorted list. `job` and `machine` are indices.
+struct ReferenceAttempt {
   std::size_t job;
   std::uint32_t task;
   std::uint64_t number;
@@ -43,50 +44,50 @@
   TaskState state;
 };
 
-TEST_F(AttemptTrackerTest, AgreesWithAPlainList) {
+TEST_F(AttemptTrackerTest, AgreesWithAReferenceModel) {
   std::mt19937 random(7);
-  const auto below = [&](std::size_t n) {
+  const auto random_below = [&](std::size_t n) {
     return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
   };
   std::vector<JobRecord> jobs;
   for (int i = 0; i < 6; ++i)
     jobs.push_back(job("wk-" + std::to_string(i), i % 2 == 0 ? "red" : "blue", 5));
   std::vector<Machine> machines(3);
-  std::vector<PlainAttempt> plain;
+  std::vector<ReferenceAttempt> reference;
   std::uint64_t number = 0;
   constexpr std::array kStates{TaskState::fetching, TaskState::waiting, TaskState::running};
   for (int step = 0; step < 3000; ++step) {
-    const std::size_t j = below(jobs.size());
-    const auto task = static_cast<std::uint32_t>(below(5));
-    const auto listed = std::find_if(plain.begin(), plain.end(), [&](const PlainAttempt& a) {
-      return a.job == j && a.task == task;
-    });
-    if (listed == plain.end()) {
-      const std::size_t m = below(machines.size());
+    const std::size_t j = random_below(jobs.size());
+    const auto task = static_cast<std::uint32_t>(random_below(5));
+    const auto entry =
+        std::find_if(reference.begin(), reference.end(),
+                     [&](const ReferenceAttempt& a) { return a.job == j && a.task == task; });
+    if (entry == reference.end()) {
+      const std::size_t m = random_below(machines.size());
       tracker.add(jobs[j], task, ++number, machines[m], 1);
-      plain.push_back({j, task, number, m, TaskState::fetching});
-    } else if (below(3) == 0) {
+      reference.push_back({j, task, number, m, TaskState::fetching});
+    } else if (random_below(3) == 0) {
       tracker.remove(jobs[j].attempts.at(task));
-      plain.erase(listed);
+      reference.erase(entry);
     } else {
-      listed->state = kStates[below(kStates.size())];
-      tracker.set_state(jobs[j].attempts.at(task), listed->state);
+      entry->state = kStates[random_below(kStates.size())];
+      tracker.set_state(jobs[j].attempts.at(task), entry->state);
     }
     for (const char* team : {"red", "blue"}) {
-      const auto used = std::count_if(plain.begin(), plain.end(), [&](const PlainAttempt& a) {
-        return jobs[a.job].spec.team == team;
-      });
-      EXPECT_DOUBLE_EQ(tracker.usage(team).cpus, 2.0 * static_cast<double>(used));
-      EXPECT_DOUBLE_EQ(tracker.usage(team).gpus, 1.0 * static_cast<double>(used));
+      const auto charged =
+          std::count_if(reference.begin(), reference.end(),
+                        [&](const ReferenceAttempt& a) { return jobs[a.job].spec.team == team; });
+      EXPECT_DOUBLE_EQ(tracker.usage(team).cpus, 2.0 * static_cast<double>(charged));
+      EXPECT_DOUBLE_EQ(tracker.usage(team).gpus, 1.0 * static_cast<double>(charged));
     }
     std::size_t on_machines = 0;
     for (const Machine& machine : machines) on_machines += machine.attempts.size();
-    EXPECT_EQ(on_machines, plain.size());
-    const auto running = std::count_if(plain.begin(), plain.end(), [&](const PlainAttempt& a) {
-      return a.job == j && a.state == TaskState::running;
-    });
+    EXPECT_EQ(on_machines, reference.size());
+    const auto running = std::count_if(
+        reference.begin(), reference.end(),
+        [&](const ReferenceAttempt& a) { return a.job == j && a.state == TaskState::running; });
     EXPECT_EQ(jobs[j].running, static_cast<std::uint32_t>(running));
-    for (const PlainAttempt& a : plain) {
+    for (const ReferenceAttempt& a : reference) {
       const AttemptId id{jobs[a.job].spec.id, a.task, a.number};
       EXPECT_EQ(find_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
       EXPECT_TRUE(jobs[a.job].claimed[a.task]);
@@ -95,7 +96,7 @@
   }
 }
 
-TEST_F(AttemptTrackerTest, AnEarlierAttemptIsNotFoundUnderTheTaskOfALaterOne) {
+TEST_F(AttemptTrackerTest, FindOnReturnsNullForAnEarlierAttemptOfTheSameTask) {
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
   tracker.add(record, 0, 2, machine, 1);
@@ -103,7 +104,7 @@
   EXPECT_NE(find_on(machine, {"wk-1", 0, 2}), nullptr);
 }
 
-TEST_F(AttemptTrackerTest, AFinishedTaskStaysTakenWhenItsAttemptIsRemoved) {
+TEST_F(AttemptTrackerTest, RemovingAnAttemptKeepsAFinishedTaskClaimed) {
   JobRecord record = job("wk-1", "red", 2);
   Machine machine;
   TaskAttempt& done = tracker.add(record, 0, 1, machine, 1);
@@ -115,7 +116,7 @@
   EXPECT_FALSE(record.claimed[1]);
 }
 
-TEST_F(AttemptTrackerTest, AnAnswerToACommandRaisesNoQuestionAboutItsOwnSession) {
+TEST_F(AttemptTrackerTest, OnlyAHeartbeatMarksAnUnlistedAttemptOfTheSameIncarnationMissing) {
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
   machine.incarnation = 4;
@@ -126,7 +127,7 @@
   EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
 }
 
-TEST_F(AttemptTrackerTest, AnAttemptThatWasNeverSeenIsMissingOnlyOnceItsSessionIsOver) {
+TEST_F(AttemptTrackerTest, AnAttemptNeverListedIsMissingOnlyOnceItsIncarnationIsOver) {
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
   machine.incarnation = 4;
@@ -136,40 +137,41 @@
   EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
 }
 
-TEST_F(AttemptTrackerTest, NothingIsInspectedWhileItsStartMayBeOnItsWay) {
+TEST_F(AttemptTrackerTest, AnAttemptIsNotInspectedWhileItsStartMayBeInFlight) {
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 1);
   attempt.start_sent_at = process.now();
   attempt.missing = true;
   time.run_for(4000);
-  EXPECT_TRUE(tracker.to_inspect(machine).empty());  // in the answer to a heartbeat
+  // The start may still be in flight in the reply to a heartbeat.
+  EXPECT_TRUE(tracker.to_inspect(machine).empty());
   time.run_for(1);
   EXPECT_EQ(tracker.to_inspect(machine), std::vector<AttemptId>{attempt.id()});
-  attempt.in_flight = 1;  // in a command
+  attempt.in_flight = 1;  // a start was sent to /commands
   EXPECT_TRUE(tracker.to_inspect(machine).empty());
 }
 
-TEST_F(AttemptTrackerTest, ALeaseIsOverOnlyAfterTheLastSignThatItMayHaveBeenRenewed) {
+TEST_F(AttemptTrackerTest, ALeaseExpiresOnlyAfterTheTimeoutSinceItsLastPossibleRenewal) {
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 1);
   const ExpiryTimes times{20000, 40000};
-  const net::Ms began = process.now();
-  machine.last_heartbeat_at = began;
+  const net::Ms term_start = process.now();
+  machine.last_heartbeat_at = term_start;
   time.run_for(20000);
-  EXPECT_FALSE(tracker.lease_expired(machine, began, true, times));
+  EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
   time.run_for(1);
-  EXPECT_TRUE(tracker.lease_expired(machine, began, true, times));
-  // Another leader may have answered it last.
-  EXPECT_FALSE(tracker.lease_expired(machine, began, false, times));
+  EXPECT_TRUE(tracker.lease_expired(machine, term_start, true, times));
+  // The previous leader may have renewed the lease last.
+  EXPECT_FALSE(tracker.lease_expired(machine, term_start, false, times));
   time.run_for(20000);
-  EXPECT_TRUE(tracker.lease_expired(machine, began, false, times));
+  EXPECT_TRUE(tracker.lease_expired(machine, term_start, false, times));
   attempt.in_flight = 1;
-  EXPECT_FALSE(tracker.lease_expired(machine, began, true, times));
+  EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
   attempt.in_flight = 0;
   machine.last_command_ack_at = process.now();
-  EXPECT_FALSE(tracker.lease_expired(machine, began, true, times));
+  EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
 }
 
 }  // namespace
--- a/tests/leader_parts_test.cc
+++ b/tests/leader_parts_test.cc
@@ -1,5 +1,5 @@
-// The leader's parts by themselves: the table of jobs, a job's lifecycle, how attempts end, and
-// what a worker's report changes.
+// Unit tests of parts of the leader: the JobTable, the lifecycle of a JobRecord, the
+// AttemptLifecycle and the HeartbeatReconciler.
 #include <gtest/gtest.h>
 
 #include "cloud/client.h"
@@ -23,7 +23,7 @@
   return job;
 }
 
-TEST(JobRecord, LifecycleOnlyGoesForward) {
+TEST(JobRecord, LifecycleNeverReturnsToAnEarlierValue) {
   JobRecord job = job_of("wk-1", wire::JobKind::array, 1);
   EXPECT_TRUE(job.active());
   job.advance_to(Lifecycle::writing_final_status);
@@ -44,7 +44,7 @@
   EXPECT_FALSE(job.all_finished());
 }
 
-TEST(JobTable, GivesJobsInTheOrderOfTheirIdsAndAttemptsByTheirNumber) {
+TEST(JobTable, IteratesInTheOrderOfIdsAndFindsAttemptsByNumber) {
   JobTable jobs;
   jobs.add(job_of("wk-2", wire::JobKind::array, 1));
   JobRecord& first = jobs.add(job_of("wk-1", wire::JobKind::array, 2));
@@ -58,7 +58,8 @@
   EXPECT_EQ(jobs.find_attempt("wk-3", 0), nullptr);
 }
 
-// The parts that act on attempts; no service answers, and no worker can be reached.
+// The parts that act on attempts. The simulated network contains no state service, cloud or worker,
+// so no request is ever answered.
 class LeaderPartsTest : public ::testing::Test {
  protected:
   LeaderPartsTest() {
@@ -66,16 +67,16 @@
     settings.lease_s = 20;
   }
   Machine& machine(const std::string& name) { return fleet.ensure(name); }
-  TaskAttempt& start(JobRecord& job, std::uint32_t task, const std::string& on) {
-    TaskAttempt& attempt = tracker.add(job, task, ++job.last_attempt, machine(on), 1);
+  TaskAttempt& start(JobRecord& job, std::uint32_t task, const std::string& machine_name) {
+    TaskAttempt& attempt = tracker.add(job, task, ++job.last_attempt, machine(machine_name), 1);
     attempt.durable = attempt.sent = attempt.seen = true;
     return attempt;
   }
-  void exits(TaskAttempt& attempt, ExitCause cause) {
+  void report_exit(TaskAttempt& attempt, ExitCause cause) {
     attempts.on_task_exited(attempt, {attempt.job->spec.id, attempt.task, attempt.number,
                                       TaskState::exited, cause, false});
   }
-  wire::Heartbeat report(std::uint64_t sequence, std::vector<wire::TaskStatus> tasks) {
+  wire::Heartbeat heartbeat_of(std::uint64_t sequence, std::vector<wire::TaskStatus> tasks) {
     wire::Heartbeat heartbeat;
     heartbeat.machine = "m-1";
     heartbeat.incarnation = 1;
@@ -114,21 +115,22 @@
   TaskRecordWriter writer{jobs, records, {16, 16}};
   CommandDispatcher commands{context, workers, fleet, jobs,
                              [](Machine&, const wire::Heartbeat&) {}};
-  int concluded = 0;
-  AttemptLifecycle attempts{context,
-                            jobs,
-                            tracker,
-                            writer,
-                            fleet,
-                            commands,
-                            {[](const std::string&) {},
-                             [this](JobRecord& job) { concluded += job.all_finished(); }, [] {}}};
+  int completed_jobs = 0;
+  AttemptLifecycle attempts{
+      context,
+      jobs,
+      tracker,
+      writer,
+      fleet,
+      commands,
+      {[](const std::string&) {}, [this](JobRecord& job) { completed_jobs += job.all_finished(); },
+       [] {}}};
   AbsenceVerifier absence{context, workers, fleet, tracker, attempts, commands};
   HeartbeatReconciler reconciler{
       context, {jobs, fleet, tracker, writer, attempts, absence}, {[](JobRecord&) {}, [] {}}};
 };
 
-TEST_F(LeaderPartsTest, StoppingReleasesAtOnceWhatNoWorkerWasToldOf) {
+TEST_F(LeaderPartsTest, StopAllReleasesAttemptsWhoseStartWasNeverSent) {
   JobRecord& job = jobs.add(job_of("wk-1", wire::JobKind::array, 2));
   start(job, 0, "m-1");
   start(job, 1, "m-1").sent = false;
@@ -141,42 +143,44 @@
   EXPECT_EQ(job.attempts.at(0).termination_grace_s, 0);
 }
 
-TEST_F(LeaderPartsTest, AGangThatLosesATaskIsStopped) {
+TEST_F(LeaderPartsTest, LosingOneTaskStopsTheGang) {
   JobRecord& gang = jobs.add(job_of("wk-1", wire::JobKind::gang, 2));
   TaskAttempt& lost = start(gang, 0, "m-1");
   start(gang, 1, "m-2");
   attempts.release_lost({&lost}, audit::AbsenceProof::lease_expired);
   EXPECT_FALSE(gang.attempts.contains(0));
   EXPECT_TRUE(gang.attempts.at(1).stop);
-  exits(gang.attempts.at(1), ExitCause::done);  // it had completed before the stop came
+  // The task had completed before the stop command arrived.
+  report_exit(gang.attempts.at(1), ExitCause::done);
   EXPECT_TRUE(gang.all_finished());
-  EXPECT_EQ(concluded, 1);
+  EXPECT_EQ(completed_jobs, 1);
 }
 
-TEST_F(LeaderPartsTest, AFailureIsHeldAgainstTheMachineUnlessTheJobFailsElsewhere) {
+TEST_F(LeaderPartsTest, AFailureQuarantinesTheMachineUnlessTheJobFailsOnOthers) {
   JobRecord& job = jobs.add(job_of("wk-1", wire::JobKind::array, 1));
-  exits(start(job, 0, "m-1"), ExitCause::error);
+  report_exit(start(job, 0, "m-1"), ExitCause::error);
   EXPECT_EQ(machine("m-1").quarantined_until, process.now() + 20000);
   EXPECT_EQ(job.retry_at, process.now() + 12000);
-  exits(start(job, 0, "m-2"), ExitCause::error);
+  report_exit(start(job, 0, "m-2"), ExitCause::error);
   EXPECT_TRUE(job.fails_everywhere());
   EXPECT_EQ(machine("m-1").quarantined_until, 0);
-  EXPECT_EQ(job.retry_at, process.now() + 20000);  // never longer than a lease
+  EXPECT_EQ(job.retry_at, process.now() + 20000);  // the delay never exceeds the lease
 }
 
-TEST_F(LeaderPartsTest, AReportedTaskOfAnOpenJobIsAdoptedAndAnUnknownOneIsCounted) {
+TEST_F(LeaderPartsTest, AdoptsAReportedTaskOfAnOpenJobAndCountsAnUnknownTask) {
   JobRecord& job = jobs.add(job_of("wk-1", wire::JobKind::array, 1));
   const wire::TaskStatus task{"wk-1", 0, 3, TaskState::running, ExitCause::none, false};
-  reconciler.reconcile(machine("m-1"), report(1, {task, {"wk-9", 0, 1}}), ReportSource::heartbeat);
+  reconciler.reconcile(machine("m-1"), heartbeat_of(1, {task, {"wk-9", 0, 1}}),
+                       ReportSource::heartbeat);
   ASSERT_TRUE(job.attempts.contains(0));
   EXPECT_EQ(job.running, 1u);
   EXPECT_EQ(job.last_attempt, 3u);
   EXPECT_FALSE(job.attempts.at(0).stop);
   EXPECT_EQ(machine("m-1").unknown_tasks, 1u);
-  // One that is no newer changes nothing.
-  reconciler.reconcile(machine("m-1"), report(1, {}), ReportSource::heartbeat);
+  // A report that is not newer than the last one changes nothing.
+  reconciler.reconcile(machine("m-1"), heartbeat_of(1, {}), ReportSource::heartbeat);
   EXPECT_FALSE(job.attempts.at(0).missing);
-  reconciler.reconcile(machine("m-1"), report(2, {}), ReportSource::heartbeat);
+  reconciler.reconcile(machine("m-1"), heartbeat_of(2, {}), ReportSource::heartbeat);
   EXPECT_TRUE(job.attempts.at(0).missing);
 }
 
