--- a/src/leader/attempts/attempt_launcher.cc
+++ b/src/leader/attempts/attempt_launcher.cc
@@ -12,8 +12,9 @@
 using wire::Verb;
 
 namespace {
-// Maximum number of attempts on one machine whose start may still be executed late by a copy of the
-// command. The worker must not forget such an attempt, so each of them makes its reports longer.
+// Maximum number of attempts on one machine whose start a delayed copy of the command may execute
+// once more. The worker must not forget such an attempt, so each of them makes the worker's reports
+// longer.
 constexpr std::size_t kMaxReplayableStarts = 8;
 }  // namespace
 
@@ -69,10 +70,10 @@
     attempt->durable = true;
     if (!may_start(*attempt)) continue;
     Machine& machine = *attempt->machine;
-    // A start that is sent through /commands may be executed late by a copy, so the worker must
-    // remember the attempt for a long time. Starts beyond the maximum travel in the reply to the
-    // next heartbeat instead: the worker discards an old reply, so that no copy of it is executed
-    // late.
+    // A delayed copy of a start that is sent through /commands may execute it once more, so the
+    // worker must remember the attempt for a long time. Starts beyond the maximum are sent in the
+    // reply to the next heartbeat instead: the worker discards an old reply, so no copy of it is
+    // executed late.
     if (machine.replayable_starts.size() >= kMaxReplayableStarts) continue;
     if (machine.incarnation != attempt->incarnation) {
       // No start was sent, and the incarnation that the attempt was assigned to is over.
@@ -93,7 +94,7 @@
 // Appends the start, preceded by commands to forget earlier attempts of the same task that exited
 // on this machine. A worker that still knows one of them would end the new attempt with `busy`.
 // Forgetting them loses nothing: the task record that is durable now no longer contains them. An
-// attempt whose start may still be executed late is not forgotten.
+// attempt whose start a delayed copy may still execute is not forgotten.
 void AttemptLauncher::append_start(const Machine& machine, const AttemptId& id,
                                    std::vector<wire::Command>& commands) {
   for (auto exited = machine.exited.lower_bound({id.job, id.task, 0});
--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -9,7 +9,8 @@
 using wire::TaskState;
 
 namespace {
-// Maximum age at which a worker accepts the reply to a heartbeat, as the protocol defines it.
+// Maximum age in milliseconds at which a worker accepts the reply to a heartbeat, as the protocol
+// defines it.
 constexpr Ms kMaxReplyAge = 4000;
 }  // namespace
 
@@ -82,12 +83,13 @@
   return any_missing;
 }
 
-// A report that does not list an attempt is no proof of its absence. The report may have been
-// delayed since before the machine was restarted, and its incarnation and sequence may be higher
-// than those after the restart, while the task runs. The leader therefore inspects the machine:
-// only the machine as it is now can reply to that request. A report that lists the attempt as
-// exited does prove its absence, since no attempt number is used twice (docs/safety.md, "Why a
-// report alone never proves absence").
+// A report that does not list an attempt is no proof of its absence. The report may have been sent
+// before a restart of the machine and delayed since. Its incarnation and sequence may nevertheless
+// be higher than the present ones, while the task has been started since the restart and is
+// running. The leader therefore sends an inspection request, to which only the worker that runs on
+// the machine now can reply. A report that lists the attempt as exited does prove its absence,
+// since no attempt number is used twice (docs/safety.md, "Why a report alone never proves
+// absence").
 std::vector<AttemptId> AttemptTracker::to_inspect(const Machine& machine) const {
   std::vector<AttemptId> ids;
   for (const auto& [task, attempt] : machine.attempts) {
--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -27,8 +27,9 @@
   // A message about an accepted job can arrive after the job has ended, so a job whose final status
   // is known to be written is ignored. If the cache no longer has that final status, the job is
   // added here, but none of its tasks can start: the transaction that would assign them compares
-  // ends/<id>. The check asks for a written status, since a job that depends on a cancelled job may
-  // be in the cache as cancelled before its own final status is written.
+  // ends/<id> and so finds the final status. The check asks for a written status, since a job that
+  // depends on a cancelled job may be in the cache as cancelled before its own final status is
+  // written.
   if (parts_.status_reader.written(id)) return;
   JobRecord job;
   try {
--- a/src/leader/jobs/job_lifecycle.h
+++ b/src/leader/jobs/job_lifecycle.h
@@ -2,10 +2,10 @@
 // its dependencies are done; it is concluded once all its tasks are done or it is cancelled; and it
 // is erased once none of its attempts and task records is left.
 //
-// The class owns no state: the JobTable owns the JobRecords. Only this class advances their
-// Lifecycle and, once a job has ended, answers the waiters in its JobRecord. It is called on the
-// event loop's thread, between the start and the end of a term. A call that ends a job can erase
-// its JobRecord, so a caller must find the job again by its id afterwards.
+// The class owns no state: the JobTable owns the JobRecords. After recovery, only this class
+// advances their Lifecycle and answers the waiters in a JobRecord with the job's final status. It
+// is called on the event loop's thread, between the start and the end of a term. A call that ends a
+// job can erase its JobRecord, so a caller must find the job again by its id afterwards.
 #pragma once
 
 #include <functional>
@@ -54,7 +54,8 @@
   void cancel_dependent(const std::string& id);
   // Cancels a job at its user's request. The job must be active.
   void cancel(JobRecord& job);
-  // Writes the job's final status if all its tasks are done and it is not being written yet.
+  // Starts to write the final status of a job whose tasks are all done. Has no effect if a final
+  // status is being written already, or is durable.
   void conclude_if_complete(JobRecord& job);
   // This stage is the job's final status in the state service, no matter which node wrote it.
   void on_ended(const std::string& id, wire::Stage stage);
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -77,7 +77,7 @@
   int failures = 0;                               // attempts that failed since a task was last done
   std::set<std::string> failed_on;                // machines on which they failed
   // Task and machine of each attempt that ended without a result and that the worker must not
-  // forget yet, since its start may still be executed late.
+  // forget yet, since a delayed copy of its start may still be executed.
   std::set<std::pair<std::uint32_t, std::string>> unreaped_attempts;
   // Of gangs only: the reserved machine of each task.
   std::vector<std::pair<std::uint32_t, std::string>> reservations;
@@ -92,7 +92,7 @@
   // The final stage of an ended job; `queued` if the job has not ended or its final stage is
   // unknown.
   wire::Stage stage = wire::Stage::queued;
-  // Callbacks that answer clients once the job has ended.
+  // Callbacks of clients that wait for the job to end.
   std::vector<std::function<void(const rpc::JobReply&)>> waiters;
 
   // True if tasks of the job failed on more than one machine, with none of its tasks done in
--- a/src/leader/jobs/job_request_handler.h
+++ b/src/leader/jobs/job_request_handler.h
@@ -1,6 +1,6 @@
 // Answers polls and cancellations of jobs, from the leader's memory or from the state service.
 //
-// The class owns no state: the JobRecord has the callbacks that wait for a cancellation. It is
+// The class owns no state: the JobRecord stores the callbacks that wait for a cancellation. It is
 // called on the event loop's thread at any time. An empty reply (rpc::Lookup::unavailable) means
 // that this node can't answer; the client has to ask again.
 #pragma once
--- a/src/leader/workers/command_dispatcher.cc
+++ b/src/leader/workers/command_dispatcher.cc
@@ -53,7 +53,7 @@
     if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->in_flight;
   Machine* machine = fleet_.find(name);
   if (!machine) return;
-  // The commands were certainly not executed, and no late copy of them can be.
+  // The commands were certainly not executed, and no late copy of them will be executed.
   if (outcome == workers::Sent::not_sent || outcome == workers::Sent::rejected)
     for (const AttemptId& id : start_ids) machine->replayable_starts.erase(id);
   const bool may_be_executed = outcome == workers::Sent::unknown && !start_ids.empty();
@@ -71,9 +71,9 @@
 }
 
 // A network fault can let a machine's heartbeats through while no request reaches the machine. The
-// machine is quarantined, so that no new attempts are placed on it. If it is still unresponsive
-// after half a lease, it is drained, and it is returned to the cloud once no attempt is known to
-// run on it.
+// machine is quarantined for half a lease, so that no new attempts are placed on it. If it is still
+// unresponsive after that time, it is drained, and it is returned to the cloud once no attempt is
+// known to run on it.
 void CommandDispatcher::on_unanswered(Machine& machine) {
   const Ms now = context_.runtime.now();
   const Ms half_lease = net::ms(context_.settings.lease_s) / 2;
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -69,15 +69,15 @@
 }
 
 // Replies to a heartbeat that shows a lower epoch than this leader's. Either the worker has
-// received no message of this leader yet, or the heartbeat is a late copy, perhaps from an earlier
-// life of the machine that had reached a higher incarnation. The leader replies so that the worker
-// learns the epoch, but the heartbeat proves nothing about attempts.
+// received no message of this leader yet, or the heartbeat is a late copy, perhaps from before
+// a restart of the machine, when its incarnation was higher than it is now. The leader replies so
+// that the worker learns the epoch, but the heartbeat proves nothing about attempts.
 //
 // A worker keeps the highest epoch that it has seen. A heartbeat that shows a lower epoch than an
 // earlier one is therefore a late copy, or comes from a worker that has begun a new incarnation. It
-// gets no epoch. The attempts of the earlier incarnation are then released when the lease expires,
-// as on any machine that sends no heartbeats (docs/safety.md, "Only reports that show our epoch
-// prove anything").
+// gets no reply with the epoch. The attempts of the earlier incarnation are then released when the
+// lease expires, as on any machine that sends no heartbeats (docs/safety.md, "Only reports that
+// show our epoch prove anything").
 HeartbeatReply HeartbeatHandler::reply_to_unconfirmed(Machine& machine,
                                                       const wire::Heartbeat& heartbeat) const {
   const std::pair position{heartbeat.incarnation, heartbeat.sequence};
