--- a/src/sched/autoscaler.h
+++ b/src/sched/autoscaler.h
@@ -1,6 +1,8 @@
-// Makes one scaling plan. Jobs are served in queue order, the cheapest way first: room that is
-// nominated for the job, room that comes free in time, machines that are booting, new machines.
-// Headroom is found last, on what is left.
+// Computes one scaling plan; plan_scaling() is the only caller. Jobs are served in queue order.
+// Each job first uses the cheapest source of capacity: machines that are nominated for it, then
+// resources that come free within its wait budget, then booting machines, then new machines.
+// Headroom is planned last, on the capacity that no job uses. Prices are per hour; there are no
+// errors.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +19,8 @@
 
 namespace seampass::sched {
 
-// Lives for one plan. It refers to the snapshot and the options, and changes neither.
+// An instance computes a single plan. It holds references to the snapshot and the options, which
+// must outlive it, and modifies neither.
 class Autoscaler {
  public:
   Autoscaler(const ClusterSnapshot& snapshot, const std::vector<ScaleOutOption>& options);
@@ -25,67 +28,77 @@
   [[nodiscard]] ScalingPlan plan(const std::vector<Headroom>& headroom);
 
  private:
-  // A machine's free room, less what this plan has promised of it. Below zero where what comes
-  // free is promised.
-  struct Room {
+  // A machine that this plan may assign tasks to.
+  struct CandidateMachine {
     const MachineView* machine;
-    std::size_t index;  // into ClusterSnapshot::machines; its size for machines that are not there
+    // Index into ClusterSnapshot::machines; the size of that list for a machine that is not in it.
+    std::size_t index;
+    // The machine's free resources minus those of the tasks that this plan assigns to it. The value
+    // is negative where the plan uses resources that are still to come free.
     Resources free;
   };
 
-  // Tasks of one job that need room.
+  // The tasks of one job that still need a machine.
   struct Demand {
     const JobView& job;
     std::uint32_t missing = 0;
-    ZoneCounts in_zone;
-    std::string required_zone;  // empty: any zone
+    ZoneCounts tasks_by_zone;
+    std::string required_zone;  // empty if any zone is allowed
 
-    [[nodiscard]] bool fits(const Room& room) const {
-      return missing > 0 && job.request.fits_in(room.free) && zone_allowed(room.machine->zone);
+    [[nodiscard]] bool fits(const CandidateMachine& candidate) const {
+      return missing > 0 && job.request.fits_in(candidate.free) &&
+             zone_allowed(candidate.machine->zone);
     }
     [[nodiscard]] bool zone_allowed(const std::string& zone) const;
-    // One task takes its room there.
-    void take(Room& room);
+    // Subtracts one task's request from the machine's free resources and counts the task as placed.
+    void assign_task_to(CandidateMachine& candidate);
   };
 
-  // What may be spent, per hour. Unlimited for jobs: their tasks run in any case.
+  // The maximum spending on headroom, per hour. The budget is unlimited for jobs, whose tasks have
+  // to run in any case.
   struct Budget {
-    double left = std::numeric_limits<double>::infinity();
+    double remaining = std::numeric_limits<double>::infinity();
     double max_price = std::numeric_limits<double>::infinity();
   };
 
-  void add(const MachineView& machine, std::size_t index);
-  void provide_for(const JobView& job);
-  void provide_headroom(const Headroom& headroom);
+  void add_candidate(const MachineView& machine, std::size_t index);
+  void plan_job(const JobView& job);
+  void plan_headroom(const Headroom& headroom);
 
-  // How many tasks need room: 0 too for a gang that the quota does not let start.
+  // Returns how many tasks need a machine and fit in the team's quota. For a gang the result is 0
+  // unless all of its tasks fit in the quota, because a gang starts only as a whole.
   [[nodiscard]] static std::uint32_t missing_tasks(const JobView& job, const TeamView& team);
-  [[nodiscard]] std::uint32_t nominated_room(const JobView& job, std::uint32_t missing) const;
-  // The zone that all tasks have to be in by what is placed; empty: not decided.
-  [[nodiscard]] static std::string required_zone(const JobView& job, const ZoneCounts& in_zone);
+  [[nodiscard]] std::uint32_t tasks_with_nominated_machines(const JobView& job,
+                                                            std::uint32_t missing) const;
+  // Returns the zone that the job's remaining tasks must use: the zone that the job names, its
+  // reserved zone or, for a job whose tasks must share one zone, the zone of its placed tasks.
+  // Empty if none of these determines a zone.
+  [[nodiscard]] static std::string required_zone(const JobView& job,
+                                                 const ZoneCounts& tasks_by_zone);
   [[nodiscard]] std::string cheapest_zone(const JobView& job, std::uint32_t missing) const;
-  [[nodiscard]] ZoneCounts rooms_by_zone(const JobView& job) const;
+  [[nodiscard]] ZoneCounts fitting_machines_by_zone(const JobView& job) const;
   [[nodiscard]] double cheapest_price(const JobView& job, const std::string& zone) const;
 
-  void use_releasing_rooms(Demand& demand);
-  void use_booting_rooms(Demand& demand);
-  void use_headroom_rooms(Demand& demand, Budget& budget);
-  [[nodiscard]] std::vector<std::size_t> rooms_by_price() const;
-  // Whether a schedulable machine's room is headroom already, or the budget pays for keeping it.
-  [[nodiscard]] bool keep_as_headroom(const Room& room, Budget& budget);
+  void use_releasing_machines(Demand& demand);
+  void use_booting_machines(Demand& demand);
+  void use_machines_as_headroom(Demand& demand, Budget& budget);
+  [[nodiscard]] std::vector<std::size_t> candidates_by_price() const;
+  // Marks a schedulable machine as headroom. Returns false if the machine is not marked yet and the
+  // budget does not cover it.
+  [[nodiscard]] bool keep_as_headroom(const CandidateMachine& candidate, Budget& budget);
   void scale_out(Demand& demand, Budget& budget);
   [[nodiscard]] std::optional<std::size_t> cheapest_option(const Demand& demand,
                                                            const Budget& budget) const;
-  Room& add_rented(const ScaleOutOption& option);
+  CandidateMachine& add_planned_machine(const ScaleOutOption& option);
 
   const ClusterSnapshot& snapshot_;
-  std::map<std::string, TeamView> teams_;  // with what this plan provides for
+  std::map<std::string, TeamView> teams_;  // usage includes the tasks that this plan provides for
   const std::vector<ScaleOutOption>& options_;
-  std::vector<int> counts_;  // machines to rent, by option
-  std::vector<Room> rooms_;
-  std::vector<std::size_t> releasing_, booting_;  // indices into rooms_
-  std::deque<MachineView> rented_;                // a deque: rooms_ points to them
-  std::map<std::string, std::vector<const MachineView*>> nominated_;  // by job
+  std::vector<int> rent_counts_;  // number of machines to rent, by option index
+  std::vector<CandidateMachine> candidates_;
+  std::vector<std::size_t> releasing_, booting_;  // indices into candidates_
+  std::deque<MachineView> planned_machines_;      // a deque, because candidates_ points into it
+  std::map<std::string, std::vector<const MachineView*>> nominated_;  // by job id
   ScalingPlan plan_;
 };
 
--- a/src/sched/cluster_snapshot.cc
+++ b/src/sched/cluster_snapshot.cc
@@ -6,7 +6,7 @@
 namespace seampass::sched {
 
 std::uint32_t TeamView::allows(const Resources& request) const {
-  constexpr double slack = 1e-6;  // use is a sum of decimal fractions
+  constexpr double slack = 1e-6;  // usage sums decimal fractions, which binary numbers round
   double tasks = wire::kMaxTasks;
   if (cpus_max && request.cpus > 0)
     tasks = std::min(tasks, (*cpus_max - cpus + slack) / request.cpus);
--- a/src/sched/consolidation.h
+++ b/src/sched/consolidation.h
@@ -1,4 +1,6 @@
-// Consolidation: which machines could be emptied and returned, their tasks moved to fuller ones.
+// Consolidation: selects machines whose tasks can move to fuller machines, so that the emptied
+// machines can be returned to the cloud. The leader's autoscaler calls it when no job has waited
+// for a machine recently. It has no errors.
 #pragma once
 
 #include <cstddef>
@@ -8,12 +10,14 @@
 
 namespace seampass::sched {
 
-// Indices into ClusterSnapshot::machines, at most `most`: machines whose few tasks have room on
-// fuller ones of their type, with their image. None while any job waits. A task is moved only if
-// the run time that is left is worth the stop: more than `gain` times what saving its checkpoint
-// and starting it again takes, the latter `restart_s` seconds.
+// Returns at most `max_machines` indices into ClusterSnapshot::machines. All tasks of such a
+// machine fit on fuller machines of the same type that have the tasks' images in their caches. The
+// result is empty while any job waits for a machine. A task moves only if its remaining run time is
+// worth the interruption: it must exceed `min_benefit_ratio` times the time to save the checkpoint
+// and restart the task. A restart takes `restart_s` seconds.
 [[nodiscard]] std::vector<std::size_t> consolidation_candidates(const ClusterSnapshot& snapshot,
-                                                                double restart_s, double gain,
-                                                                std::size_t most);
+                                                                double restart_s,
+                                                                double min_benefit_ratio,
+                                                                std::size_t max_machines);
 
 }  // namespace seampass::sched
--- a/src/sched/decisions.h
+++ b/src/sched/decisions.h
@@ -1,5 +1,5 @@
-// The output of a scheduling pass. Machines and jobs are indices into the ClusterSnapshot that the
-// pass was given.
+// The output of a scheduling pass, which the leader's scheduling loop carries out. Machines and
+// jobs are indices into the ClusterSnapshot that the pass was given.
 #pragma once
 
 #include <cstddef>
@@ -9,25 +9,26 @@
 
 namespace seampass::sched {
 
-// Tasks of one job, each with its machine.
+// Tasks of one job, each with the machine that the pass chose for it.
 struct JobPlacements {
   std::size_t job = 0;
   std::vector<Placement> tasks;
 };
 
-// Tasks of a machine to stop, so that a job finds room there in a later pass.
+// Tasks to stop on one machine, so that a job can be placed there in a later pass.
 struct Preemption {
   std::size_t machine = 0;
-  std::size_t job = 0;  // the one that the room is for
+  std::size_t job = 0;  // the job that will use the freed resources
   std::vector<PreemptibleTask> tasks;
 };
 
 struct Decisions {
   std::vector<Preemption> preemptions;
   std::vector<JobPlacements> starts;
-  // Each gang's whole new set; a gang that is not named has no reservation.
+  // Each entry replaces all earlier reservations of its gang. A gang without an entry has no
+  // reservations any longer.
   std::vector<JobPlacements> reservations;
-  std::size_t machines_examined = 0;  // machines compared with a job: the pass's cost
+  std::size_t machines_examined = 0;  // comparisons of a machine with a job: the pass's cost
 };
 
 }  // namespace seampass::sched
--- a/src/sched/dependency_graph.cc
+++ b/src/sched/dependency_graph.cc
@@ -15,7 +15,7 @@
   return a->job < b->job;
 }
 
-DependencyGraph::Node& DependencyGraph::ensure(const std::string& job) {
+DependencyGraph::Node& DependencyGraph::find_or_add(const std::string& job) {
   const auto [entry, is_new] = nodes_.try_emplace(job);
   if (is_new) {
     entry->second.job = job;
@@ -47,7 +47,7 @@
   const NodeSet upstream = job.upstream;
   for (Node* dependency : upstream) {
     disconnect(job, *dependency);
-    // No dependent is left that needs to know what becomes of it.
+    // A job in state unknown is in the graph only for its dependents. It leaves with the last one.
     if (dependency->state == State::unknown && dependency->downstream.empty()) erase(*dependency);
   }
 }
@@ -74,7 +74,7 @@
 DependencyGraph::Effects DependencyGraph::add(const std::string& job, Priority priority,
                                               const std::vector<std::string>& dependencies) {
   Effects effects;
-  Node& node = ensure(job);
+  Node& node = find_or_add(job);
   if (node.state != State::unknown) return effects;
   node.state = State::open;
   unknown_.erase(job);
@@ -82,7 +82,7 @@
   update_priority(node);
   bool cancelled = false;
   for (const std::string& name : dependencies) {
-    Node& dependency = ensure(name);
+    Node& dependency = find_or_add(name);
     cancelled = cancelled || dependency.state == State::cancelled;
     connect(node, dependency);
   }
@@ -117,14 +117,16 @@
   return effects;
 }
 
-// None of the dependents has started a task, since this job was not done.
+// No task of a dependent has started, because a job becomes ready only after all its dependencies
+// are done, and this job is not.
 std::vector<std::string> DependencyGraph::cancel_with_downstream(Node& job) {
   std::vector<std::string> result;
   std::vector<Node*> next;
   const auto mark = [&](Node& node) {
-    // Before the edges are removed: a node in state unknown is erased with its last dependent.
+    // The state is set before the edges are removed: disconnect_upstream() erases a node that is in
+    // state unknown when its last dependent goes, and this node is still in use.
     node.state = State::cancelled;
-    // Once it is cancelled, nothing else that it depends on matters.
+    // The state of its other dependencies no longer matters to a cancelled job.
     disconnect_upstream(node);
     next.push_back(&node);
   };
--- a/src/sched/dependency_graph.h
+++ b/src/sched/dependency_graph.h
@@ -1,8 +1,11 @@
-// The directed acyclic graph of jobs and their dependencies. Pure: its owner (the leader's
-// dependency tracker) adds jobs and says how they end; it answers what follows for the others.
+// The directed acyclic graph of jobs and their dependencies. It does no I/O. The leader's
+// dependency tracker owns it, adds open jobs and reports the final status of each job; each of
+// these calls returns the effects on the other jobs. Calls that name a job which is not in the
+// graph are no errors.
 //
-// Only open jobs are in the graph, with the jobs that they depend on and whose state is not known
-// yet. Depth is not bounded: nothing recurses, and no query visits a job twice.
+// The graph holds only open jobs and, in state unknown, dependencies of open jobs whose own state
+// has not been read yet. The depth of the graph is not bounded: no function is recursive, and no
+// query visits a job twice.
 #pragma once
 
 #include <array>
@@ -18,36 +21,39 @@
 
 class DependencyGraph {
  public:
-  // What follows from an event, for open jobs.
+  // The effects of an event on open jobs.
   struct Effects {
-    std::vector<std::string> ready;      // their last dependency is done by this event
-    std::vector<std::string> cancelled;  // a dependency, direct or indirect, is cancelled
+    // Jobs whose last unfinished dependency is now done.
+    std::vector<std::string> ready;
+    // Jobs with a direct or indirect dependency that is now cancelled.
+    std::vector<std::string> cancelled;
   };
 
-  // Adds an open job. Dependencies that are not in the graph are unknown until they are added,
-  // finished or cancelled. A job without dependencies is ready from the start, and is not among
-  // the effects.
+  // Adds an open job. A dependency that is not in the graph is added in state unknown, which lasts
+  // until that job is itself added, finished or cancelled. A job without dependencies is ready from
+  // the start and is not listed in the effects.
   Effects add(const std::string& job, wire::Priority priority,
               const std::vector<std::string>& dependencies);
-  // The job's final status is durable, done or cancelled; the job leaves the graph. Also for a job
-  // that was never added and is in the graph as a dependency only.
+  // finish() and cancel() remove a job whose final status, done or cancelled, is durable. Both also
+  // accept a job that was never added and is in the graph only as a dependency.
   Effects finish(const std::string& job);
   Effects cancel(const std::string& job);
   void clear();
 
   [[nodiscard]] bool contains(const std::string& job) const { return nodes_.contains(job); }
-  // Whether all its dependencies are done. False for a job that is not in the graph.
+  // Returns whether the job is open and all its dependencies are done; false for a job that is not
+  // in the graph.
   [[nodiscard]] bool ready(const std::string& job) const;
-  // Whether a job that it depends on, directly or through others, is cancelled.
+  // Returns whether a direct or indirect dependency of the job is cancelled.
   [[nodiscard]] bool cancelled(const std::string& job) const;
-  // Whether a job that it depends on, directly or through others, is in state unknown, so that the
-  // job may turn out to be cancelled.
+  // Returns whether a direct or indirect dependency of the job is in state unknown. If that
+  // dependency proves to be cancelled, the job is cancelled as well.
   [[nodiscard]] bool undecided(const std::string& job) const;
-  // All jobs that it depends on, directly or through others, and that are not known to be done.
+  // Returns all direct and indirect dependencies of the job that are not known to be done.
   [[nodiscard]] std::vector<std::string> upstream(const std::string& job) const;
-  // Dependencies in state unknown.
+  // Returns the dependencies in state unknown.
   [[nodiscard]] const std::set<std::string>& unknown() const { return unknown_; }
-  // The highest among its own priority and those of its dependents, direct and indirect.
+  // Returns the highest priority among the job itself and its direct and indirect dependents.
   [[nodiscard]] wire::Priority effective_priority(const std::string& job) const;
 
  private:
@@ -66,25 +72,26 @@
     State state = State::unknown;
     wire::Priority own = wire::Priority::low;
     wire::Priority effective = wire::Priority::low;
-    NodeSet upstream;    // not known to be done
-    NodeSet downstream;  // open
+    NodeSet upstream;    // direct dependencies that are not known to be done
+    NodeSet downstream;  // direct dependents, all of them open
+    // The number of direct dependents with each effective priority.
     std::array<std::uint32_t, kPriorities> downstream_by_priority{};
   };
 
-  Node& ensure(const std::string& job);
+  Node& find_or_add(const std::string& job);
   [[nodiscard]] const Node* find(const std::string& job) const;
   static void connect(Node& job, Node& dependency);
   static void disconnect(Node& job, Node& dependency);
   void disconnect_upstream(Node& job);
-  // Recomputes the effective priorities of this job and of those upstream.
+  // Recomputes the effective priority of this job and, where it changes, of the jobs upstream.
   static void update_priority(Node& job);
-  // Cancels the job and its dependents, direct and indirect; returns the dependents' names.
+  // Marks the job and its direct and indirect dependents as cancelled. Returns the dependents' ids.
   std::vector<std::string> cancel_with_downstream(Node& job);
   static std::vector<const Node*> visit_upstream(const Node& job);
   void erase(Node& job);
 
   std::unordered_map<std::string, Node> nodes_;
-  std::set<std::string> unknown_;
+  std::set<std::string> unknown_;  // ids of nodes in state unknown
 };
 
 }  // namespace seampass::sched
--- a/src/sched/filter.h
+++ b/src/sched/filter.h
@@ -1,4 +1,5 @@
-// Filter: which machines a task of a job may run on, room aside.
+// Filter: decides which machines the tasks of a job may run on, apart from the machines' free
+// resources. All functions are pure and have no errors.
 #pragma once
 
 #include <string>
@@ -7,25 +8,27 @@
 
 namespace seampass::sched {
 
-// Whether a task of this job may ever run on a machine like this.
+// Returns whether the job's rules allow its tasks on machines of this type, zone and spot kind.
 [[nodiscard]] bool allowed(const JobView& job, const std::string& type, const std::string& zone,
                            bool spot);
 
-// The same for a machine, or for one that is offered.
+// The same for an existing machine (MachineView) or an offered one (ScaleOutOption).
 template <typename Machine>
 [[nodiscard]] bool allowed(const JobView& job, const Machine& machine) {
   return allowed(job, machine.type, machine.zone, machine.spot);
 }
 
-// Whether one more task may go to `zone` by the rule that spreads a job, given how many are where.
+// Returns whether the spread rule allows one more task of the job in `zone`. `placed` counts the
+// tasks that each zone already has.
 [[nodiscard]] bool spread_allows(const JobView& job, const ZoneCounts& placed,
                                  const std::string& zone);
 
-// The same by both zone rules: one zone for all tasks, and spread.
+// Returns whether both zone rules, one zone for all tasks and spread, allow one more task in
+// `zone`.
 [[nodiscard]] bool zone_allows(const JobView& job, const ZoneCounts& placed,
                                const std::string& zone);
 
-// The job's tasks by zone: those that are charged to a machine and those with a reservation.
+// Counts the job's tasks by zone: those that are charged to a machine and those with a reservation.
 [[nodiscard]] ZoneCounts placed_or_reserved(const JobView& job, const ClusterSnapshot& snapshot);
 
 }  // namespace seampass::sched
--- a/src/sched/gang_placer.cc
+++ b/src/sched/gang_placer.cc
@@ -20,12 +20,13 @@
   return {Permit::wait, std::move(best)};
 }
 
-// What was reserved is placed afresh: its room is still there, and a better whole may now exist.
+// Every pass places the reserved tasks anew. The released resources are still free at this point,
+// and a placement of more tasks may exist by now.
 void GangPlacer::release_reservations(JobView& job) {
   if (job.reservations.empty()) return;
   placer_.unreserve(job, job.reservations);
   job.reservations.clear();
-  pools_.forget_infeasible_requests();
+  pools_.clear_infeasible_requests();
 }
 
 std::set<std::string> GangPlacer::zones_to_try(const JobView& job) const {
@@ -39,18 +40,20 @@
   std::vector<Placement> best;
   double best_cost = std::numeric_limits<double>::infinity();
   for (const std::string& zone : zones_to_try(job)) {
-    std::vector<Placement> tried = placer_.place(job, zone.empty() ? nullptr : &zone);
-    const double cost = cost_of(job, tried);
-    placer_.unreserve(job, tried);
-    if (tried.size() > best.size() || (tried.size() == best.size() && cost < best_cost)) {
-      best = std::move(tried);
+    std::vector<Placement> in_this_zone = placer_.place(job, zone.empty() ? nullptr : &zone);
+    const double cost = cost_of(job, in_this_zone);
+    placer_.unreserve(job, in_this_zone);
+    if (in_this_zone.size() > best.size() ||
+        (in_this_zone.size() == best.size() && cost < best_cost)) {
+      best = std::move(in_this_zone);
       best_cost = cost;
     }
   }
   return best;
 }
 
-// By price, doubled where the image has to be fetched.
+// Returns the sum of the machines' prices, one per task. The price counts twice where the image has
+// to be fetched.
 double GangPlacer::cost_of(const JobView& job, const std::vector<Placement>& placements) const {
   double cost = 0;
   for (const Placement& placement : placements) {
--- a/src/sched/gang_placer.h
+++ b/src/sched/gang_placer.h
@@ -1,5 +1,6 @@
-// Permit: a gang starts when every task has its place; short of that it waits, and keeps what room
-// it has as reservations.
+// Permit: starts a gang only when every one of its tasks has a machine. Until then the gang waits,
+// and the placements found so far become reservations. The pass (pass.cc) calls it for each pending
+// gang. It has no errors.
 #pragma once
 
 #include <set>
@@ -12,26 +13,28 @@
 
 namespace seampass::sched {
 
-// Lives for one pass.
+// An instance serves one pass.
 class GangPlacer {
  public:
   enum class Permit { start, wait };
   struct Result {
     Permit permit = Permit::wait;
-    std::vector<Placement> placements;  // to start or to reserve; none: there is no room
+    std::vector<Placement> placements;  // to start or to reserve; empty if neither is possible
   };
 
   GangPlacer(const ClusterSnapshot& snapshot, MachinePools& pools, TaskPlacer& placer)
       : snapshot_(snapshot), pools_(pools), placer_(placer) {}
 
-  // Replaces the gang's reservations: the room for the result's placements is taken.
+  // Replaces the gang's reservations. The resources of the returned placements are subtracted from
+  // the snapshot and charged to the team. If the whole gang is placed, no task stays pending.
   [[nodiscard]] Result place(JobView& job);
 
  private:
   void release_reservations(JobView& job);
-  // Zones to try one by one; an empty name stands for all zones at once.
+  // Returns the zones to try one by one; a single empty name stands for all zones together.
   [[nodiscard]] std::set<std::string> zones_to_try(const JobView& job) const;
-  // The most tasks, at the least cost; their room is not taken.
+  // Returns the placements with the most tasks; among equals, those with the lowest cost. Their
+  // resources are not reserved yet.
   [[nodiscard]] std::vector<Placement> best_placements(const JobView& job);
   [[nodiscard]] double cost_of(const JobView& job, const std::vector<Placement>& placements) const;
 
--- a/src/sched/machine_pools.cc
+++ b/src/sched/machine_pools.cc
@@ -10,7 +10,8 @@
 namespace seampass::sched {
 namespace {
 
-// Bounds the list that each request is compared with.
+// The maximum number of infeasible requests that a pool records, which bounds the cost of comparing
+// a new request with them.
 constexpr std::size_t kMaxInfeasibleRequests = 16;
 
 bool is_infeasible(const Resources& request, const MachinePool& pool) {
@@ -21,12 +22,12 @@
 }  // namespace
 
 MachinePools::MachinePools(const ClusterSnapshot& snapshot) : snapshot_(snapshot) {
-  std::map<std::tuple<std::string_view, std::string_view, bool>, std::size_t> pool_by_kind;
+  std::map<std::tuple<std::string_view, std::string_view, bool>, std::size_t> pool_index;
   for (std::size_t i = 0; i < snapshot_.machines.size(); ++i) {
     const MachineView& machine = snapshot_.machines[i];
     if (!machine.schedulable) continue;
     const auto [entry, is_new] =
-        pool_by_kind.try_emplace({machine.type, machine.zone, machine.spot}, pools_.size());
+        pool_index.try_emplace({machine.type, machine.zone, machine.spot}, pools_.size());
     if (is_new) pools_.push_back({&machine, {}, {}});
     pools_[entry->second].machines.push_back(i);
   }
@@ -45,20 +46,20 @@
 
 void MachinePools::add_candidates(const JobView& job, MachinePool& pool,
                                   std::vector<MachineScore>& list) {
-  bool has_room = false;
+  bool any_fits = false;
   for (const std::size_t i : pool.machines) {
     const MachineView& machine = snapshot_.machines[i];
     ++machines_examined_;
     if (!job.request.fits_in(machine.free)) continue;
-    has_room = true;
+    any_fits = true;
     if (!machine.nominated_job.empty() && machine.nominated_job != job.id) continue;
     list.push_back(score(job, snapshot_, i));
   }
-  if (!has_room && pool.infeasible_requests.size() < kMaxInfeasibleRequests)
+  if (!any_fits && pool.infeasible_requests.size() < kMaxInfeasibleRequests)
     pool.infeasible_requests.push_back(job.request);
 }
 
-void MachinePools::forget_infeasible_requests() {
+void MachinePools::clear_infeasible_requests() {
   for (MachinePool& pool : pools_) pool.infeasible_requests.clear();
 }
 
--- a/src/sched/machine_pools.h
+++ b/src/sched/machine_pools.h
@@ -1,5 +1,6 @@
-// The schedulable machines of a snapshot, in pools of machines that the same jobs may use, so that
-// the filter is asked once for each pool rather than for each machine.
+// Groups the schedulable machines of a snapshot into pools. All machines of a pool are alike to the
+// filter, so that the filter runs once per pool rather than once per machine. The placers and the
+// preemptor of a pass use the pools. There are no errors.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +13,33 @@
 
 // Machines of one type, zone and spot kind.
 struct MachinePool {
-  const MachineView* sample = nullptr;  // any of them: they are alike to the filter
+  const MachineView* sample = nullptr;  // any machine of the pool, for the filter
   std::vector<std::size_t> machines;    // indices into ClusterSnapshot::machines
-  // Requests that no machine of the pool had room for in this pass: a request for as much or more
-  // need not be compared. Room only shrinks in a pass, except where reservations are released,
-  // which clears these.
+  // Requests that fit on no machine of the pool in this pass. A request for as much or more does
+  // not fit either and is not compared with the machines again. Free resources only shrink during a
+  // pass, except when a gang's reservations are released; that clears this list.
   std::vector<Resources> infeasible_requests;
 };
 
-// Lives for one pass. It refers to the snapshot, whose machines must not move meanwhile.
+// An instance serves one pass. It holds pointers to the snapshot's machines, so the list of
+// machines must not change meanwhile.
 class MachinePools {
  public:
   explicit MachinePools(const ClusterSnapshot& snapshot);
 
   [[nodiscard]] const std::vector<MachinePool>& all() const { return pools_; }
 
-  // Machines with room for one task of the job, best first; in one zone only if `zone` is given.
-  // (Once a task is placed, its machine is the tighter fit, so that it stays the best for as long
-  // as it has room.)
+  // Returns the machines that one task of the job fits on, best score first. If `zone` is given,
+  // only machines in that zone are returned. The order stays valid while the caller places several
+  // tasks of the job: a machine that takes a task has fewer free resources, so its score improves
+  // and it stays the best one for as long as another task fits.
   [[nodiscard]] std::vector<MachineScore> candidates(const JobView& job, const std::string* zone);
 
-  // Room came free: what was infeasible may fit now.
-  void forget_infeasible_requests();
+  // Clears the recorded infeasible requests. To be called when reserved resources are released,
+  // because requests that did not fit before may fit afterwards.
+  void clear_infeasible_requests();
 
-  // How many machines candidates() has compared with a job.
+  // Returns how many comparisons of a machine with a job candidates() has made.
   [[nodiscard]] std::size_t machines_examined() const { return machines_examined_; }
 
  private:
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -56,8 +56,8 @@
   }
 
   void preempt_for(std::size_t index) {
-    std::vector<Preemption> cleared = preemptor_.clear_room(index);
-    std::move(cleared.begin(), cleared.end(), std::back_inserter(decisions_.preemptions));
+    std::vector<Preemption> preemptions = preemptor_.plan_preemptions(index);
+    std::move(preemptions.begin(), preemptions.end(), std::back_inserter(decisions_.preemptions));
   }
 
   ClusterSnapshot& snapshot_;
--- a/src/sched/queue_order.cc
+++ b/src/sched/queue_order.cc
@@ -24,18 +24,18 @@
     double gpus = 0, cpus = 0;
   };
   for (JobView& job : jobs) job.fair_share_rank = 0;
-  std::map<std::string, Requested> by_team;
-  for (const auto& [name, team] : teams) by_team[name] = {team.gpus, team.cpus};
+  std::map<std::string, Requested> requested_by_team;
+  for (const auto& [name, team] : teams) requested_by_team[name] = {team.gpus, team.cpus};
   for (const std::size_t index : queue_order(jobs)) {
     JobView& job = jobs[index];
-    Requested& requested = by_team[job.team];
+    Requested& requested = requested_by_team[job.team];
     const auto tasks = static_cast<double>(job.unreserved_tasks());
     requested.gpus += tasks * job.request.gpus;
     requested.cpus += tasks * job.request.cpus;
     const auto guaranteed = guaranteed_gpus.find(job.team);
     if (job.request.gpus > 0 && guaranteed != guaranteed_gpus.end() && guaranteed->second > 0) {
       const double share = requested.gpus / guaranteed->second;
-      // Within its guarantee a team waits for no other.
+      // A team within its guarantee has the first rank, so that no other team's excess delays it.
       job.fair_share_rank = share <= 1 ? 0 : share;
     } else {
       job.fair_share_rank = requested.cpus;
--- a/src/sched/resources.cc
+++ b/src/sched/resources.cc
@@ -12,7 +12,7 @@
 }
 
 std::uint32_t capacity(const Resources& request, const Resources& total) {
-  constexpr double slack = 1e-9;  // a quotient that should be whole may come out just below
+  constexpr double slack = 1e-9;  // rounding may put a whole quotient just below the whole number
   double tasks = wire::kMaxTasks;
   if (request.cpus > 0) tasks = std::min(tasks, total.cpus / request.cpus + slack);
   if (request.gpus > 0) tasks = std::min(tasks, total.gpus / request.gpus + slack);
--- a/src/sched/resources.h
+++ b/src/sched/resources.h
@@ -1,4 +1,6 @@
-// Amounts of processors, accelerators and memory: what a task requests and what a machine has.
+// Amounts of processors, accelerators and memory, as a task requests them and as a machine has
+// them. The scheduler, job admission and the leader use them. All functions are pure and have no
+// errors.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +11,11 @@
 
 struct Resources {
   double cpus = 0;       // cores
-  double gpus = 0;       // devices; a fraction is a share of one
+  double gpus = 0;       // devices; a fraction is a share of a device
   double memory_gb = 0;  // GB
 
   [[nodiscard]] bool fits_in(const Resources& available) const {
-    constexpr double slack = 1e-6;  // amounts are decimal fractions summed in binary
+    constexpr double slack = 1e-6;  // sums of decimal fractions are rounded in binary
     return cpus <= available.cpus + slack && gpus <= available.gpus + slack &&
            memory_gb <= available.memory_gb + slack;
   }
@@ -31,16 +33,16 @@
   }
 };
 
-// What one task of the job requests.
+// Returns the resources that one task of the job requests.
 [[nodiscard]] inline Resources request_of(const wire::Job& job) {
   return {job.cpus, job.gpus, job.memory_gb};
 }
 
-// Whether a task of this job may ever run on an empty machine of this type: its size, and the types
-// that the job names.
+// Returns whether a task of this job can run on an empty machine of this type. The task must fit,
+// and the type must be among the types that the job allows.
 [[nodiscard]] bool fits_empty(const wire::MachineType& type, const wire::Job& job);
 
-// How many tasks with this request an empty machine with these resources takes.
+// Returns how many tasks with this request fit on an empty machine with these resources.
 [[nodiscard]] std::uint32_t capacity(const Resources& request, const Resources& total);
 
 }  // namespace seampass::sched
--- a/src/sched/scaling_plan.h
+++ b/src/sched/scaling_plan.h
@@ -1,5 +1,6 @@
-// What to rent for the tasks that a pass left pending, and which room to keep free for those that
-// are expected.
+// Scale-out planning: which machines to rent for the tasks that a pass left pending, and which free
+// resources to keep as headroom for tasks that are expected soon. The leader's autoscaler calls it
+// after a pass. Prices are per hour; there are no errors.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +12,7 @@
 
 namespace seampass::sched {
 
-// A kind of machine that the cloud offers now.
+// A kind of machine that the cloud currently offers.
 struct ScaleOutOption {
   std::string type, zone;
   bool spot = false;
@@ -21,24 +22,25 @@
 
 struct ScaleOutRequest {
   std::size_t option = 0;  // index into the options that the plan was made with
-  int count = 0;           // machines
+  int count = 0;           // number of machines
 };
 
-// Room to keep free for tasks that are expected to come before a new machine could boot.
+// Free resources to keep for tasks that are expected to arrive before a new machine could boot.
 struct Headroom {
-  JobView job;           // a stand-in for the expected jobs: `pending` says how many tasks
-  double budget = 0;     // per hour, for machines that nothing else needs
-  double max_price = 0;  // per hour: no machine above this price
+  JobView job;           // represents the expected jobs; `pending` has one entry per task
+  double budget = 0;     // maximum cost per hour of otherwise unneeded machines
+  double max_price = 0;  // maximum price per hour of a single machine
 };
 
 struct ScalingPlan {
   std::vector<ScaleOutRequest> scale_out;
-  // Indices into ClusterSnapshot::machines: machines whose free room is wanted as headroom.
+  // Indices into ClusterSnapshot::machines of the machines whose free resources serve as headroom.
   std::set<std::size_t> headroom_machines;
 };
 
-// The machines to rent for what a pass left pending, once room that is booting or comes free in
-// time is counted; then those to rent or keep as headroom.
+// Plans the machines to rent for the tasks that a pass left pending. Before it rents a machine for
+// a job, it uses nominated machines, resources that come free within the job's wait budget, and
+// booting machines. Afterwards it plans the machines to rent or keep as headroom.
 [[nodiscard]] ScalingPlan plan_scaling(const ClusterSnapshot& snapshot,
                                        const std::vector<ScaleOutOption>& options,
                                        const std::vector<Headroom>& headroom);
--- a/src/sched/score.h
+++ b/src/sched/score.h
@@ -1,4 +1,5 @@
-// Score: which of the machines with room a task goes to.
+// Score: ranks the machines that a task fits on. Machine pools (machine_pools.h) call it. It has no
+// errors.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +9,20 @@
 
 namespace seampass::sched {
 
-// The lower is the better. Compared member by member, in this order.
+// A lower score is better. Scores are compared member by member, in the order of declaration.
 struct MachineScore {
-  // A machine with accelerators that the task does not use is the dearest of all.
+  // The machine has accelerators and the task uses none. Such a machine is the last choice.
   bool wastes_gpus = false;
-  // For a job that has to start soon, an image that must be fetched weighs more than the price.
+  // The job has to start soon and the machine must fetch its image. This counts more than the
+  // price.
   bool fetch_delays_start = false;
   double price = 0;  // per hour
   bool fetches_image = false;
-  // The tightest fit, so that other machines empty and can be returned.
+  // Free resources before the task is placed. The tightest fit is preferred, so that other machines
+  // become empty and can be returned.
   double free_gpus = 0;
   double free_cpus = 0;
-  std::size_t machine = 0;  // index into ClusterSnapshot::machines: makes the order total
+  std::size_t machine = 0;  // index into ClusterSnapshot::machines; breaks ties
 
   [[nodiscard]] auto members() const {
     return std::tie(wastes_gpus, fetch_delays_start, price, fetches_image, free_gpus, free_cpus,
@@ -28,7 +31,8 @@
   bool operator<(const MachineScore& other) const { return members() < other.members(); }
 };
 
-// The score of this machine for one task of the job. (Inline: a pass calls it for each machine.)
+// Returns the score of this machine for one task of the job. With MachineChoice::first_fit only the
+// machine's index counts. The function is inline because a pass calls it for each machine.
 [[nodiscard]] inline MachineScore score(const JobView& job, const ClusterSnapshot& snapshot,
                                         std::size_t machine) {
   MachineScore result;
--- a/src/sched/snapshot.h
+++ b/src/sched/snapshot.h
@@ -1,5 +1,5 @@
-// All of the scheduling decisions, for the leader. Pure: no clock, no I/O, no randomness; a
-// snapshot of the cluster goes in and decisions come out.
+// Includes the scheduler's public headers, for the leader. The functions are pure: they compute
+// decisions from a snapshot of the cluster without a clock, I/O or randomness.
 #pragma once
 
 #include "sched/cluster_snapshot.h"
--- a/src/sched/task_placer.cc
+++ b/src/sched/task_placer.cc
@@ -17,56 +17,58 @@
                      [task](const Placement& placement) { return placement.task == task; });
 }
 
-// Where only tasks are left that must avoid the machine, one of them takes the place of a task that
-// may be moved there. (A job's tasks are alike.)
-bool add_by_exchange(const JobView& job, std::size_t machine,
-                     const std::vector<std::uint32_t>& remaining,
-                     std::vector<Placement>& placements) {
-  for (const std::uint32_t task : remaining)
-    for (Placement& other : placements)
-      if (may_use(job, other.task, machine) && may_use(job, task, other.machine)) {
-        const std::uint32_t moved = std::exchange(other.task, task);
-        placements.push_back({moved, machine});
+// Places one more task when every unplaced task must avoid the machine. It moves a task that is
+// already placed elsewhere to this machine, and an unplaced task takes over that task's machine.
+// This exchange is possible because all tasks of a job request the same resources.
+bool place_by_exchange(const JobView& job, std::size_t machine,
+                       const std::vector<std::uint32_t>& avoiding_tasks,
+                       std::vector<Placement>& placements) {
+  for (const std::uint32_t task : avoiding_tasks)
+    for (Placement& earlier : placements)
+      if (may_use(job, earlier.task, machine) && may_use(job, task, earlier.machine)) {
+        const std::uint32_t moved_task = std::exchange(earlier.task, task);
+        placements.push_back({moved_task, machine});
         return true;
       }
   return false;
 }
 
-// Adds the first task that has no place yet and may use this machine. False if there is none.
-bool add_next_task(const JobView& job, std::size_t machine, std::vector<Placement>& placements) {
+// Places one unplaced task on this machine: the first one that may use it, or one by exchange.
+// Returns false if neither is possible.
+bool place_next_task(const JobView& job, std::size_t machine, std::vector<Placement>& placements) {
   if (job.anti_affinity.empty()) {
     placements.push_back({job.pending[placements.size()], machine});
     return true;
   }
-  std::vector<std::uint32_t> remaining;
+  std::vector<std::uint32_t> avoiding_tasks;
   for (const std::uint32_t task : job.pending) {
     if (is_placed(task, placements)) continue;
     if (may_use(job, task, machine)) {
       placements.push_back({task, machine});
       return true;
     }
-    remaining.push_back(task);
+    avoiding_tasks.push_back(task);
   }
-  return add_by_exchange(job, machine, remaining, placements);
+  return place_by_exchange(job, machine, avoiding_tasks, placements);
 }
 
 }  // namespace
 
 std::vector<Placement> TaskPlacer::place(const JobView& job, const std::string* zone) {
-  ZoneCounts in_zone = job.placed;
+  ZoneCounts tasks_by_zone = job.placed;
   std::vector<Placement> placements;
-  const std::size_t most =
+  const std::size_t max_placements =
       std::min<std::size_t>(job.pending.size(), snapshot_.teams[job.team].allows(job.request));
-  if (most == 0) return placements;
+  if (max_placements == 0) return placements;
   for (const MachineScore& candidate : pools_.candidates(job, zone)) {
     const MachineView& machine = snapshot_.machines[candidate.machine];
-    while (placements.size() < most && job.request.fits_in(machine.free) &&
-           zone_allows(job, in_zone, machine.zone)) {
-      if (!add_next_task(job, candidate.machine, placements)) break;
+    while (placements.size() < max_placements && job.request.fits_in(machine.free) &&
+           zone_allows(job, tasks_by_zone, machine.zone)) {
+      if (!place_next_task(job, candidate.machine, placements)) break;
       reserve(job, candidate.machine);
-      ++in_zone[machine.zone];
+      ++tasks_by_zone[machine.zone];
     }
-    if (placements.size() == most) break;
+    if (placements.size() == max_placements) break;
   }
   return placements;
 }
--- a/src/sched/task_placer.h
+++ b/src/sched/task_placer.h
@@ -1,5 +1,6 @@
-// Reserve and unreserve: finds machines for pending tasks and takes their resources out of the
-// snapshot and out of the team's quota.
+// Reserve and unreserve: finds machines for pending tasks, subtracts the tasks' resources from the
+// machines in the snapshot and charges them to the team's quota. The pass (pass.cc) calls it for
+// arrays and services, and the gang placer for gangs. It has no errors.
 #pragma once
 
 #include <string>
@@ -10,18 +11,19 @@
 
 namespace seampass::sched {
 
-// Lives for one pass. Decides nothing about which placements start.
+// An instance serves one pass. It does not decide whether the placed tasks start or only reserve
+// resources; its callers do.
 class TaskPlacer {
  public:
   TaskPlacer(ClusterSnapshot& snapshot, MachinePools& pools) : snapshot_(snapshot), pools_(pools) {}
 
-  // Places as many of the job's pending tasks as fit, in one zone only if `zone` is given, and
-  // reserves their resources.
+  // Places as many of the job's pending tasks as fit and reserves their resources. If `zone` is
+  // given, only machines in that zone are used.
   [[nodiscard]] std::vector<Placement> place(const JobView& job, const std::string* zone);
 
-  // Takes one task's resources on this machine.
+  // Subtracts one task's resources from this machine and charges them to the job's team.
   void reserve(const JobView& job, std::size_t machine);
-  // Gives back what these placements took.
+  // Returns the resources of these placements to their machines and to the team's quota.
   void unreserve(const JobView& job, const std::vector<Placement>& placements);
 
  private:
