--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,4 +1,4 @@
-// The dependency graph compared with a slow plain model that goes over all edges for every query.
+// Compares the dependency graph with a slow reference graph that visits all edges for every query.
 #include "sched/dependency_graph.h"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 
 using wire::Priority;
 
-// Every job that was ever named, and what is known of it.
-class PlainGraph {
+// Holds every job that was ever added or named as a dependency, with its last known state.
+class ReferenceGraph {
  public:
   enum class State { unknown, open, done, cancelled };
   struct Job {
@@ -56,16 +56,18 @@
   }
 };
 
-// Random graphs of jobs that are added in any order and end in any order that the rules allow.
-class RandomDay {
+// Runs one random sequence of events on a random graph of jobs. Jobs are added in random order and
+// end in any allowed order: an added job is done only when it is ready, and any job may be
+// cancelled at any time. The graph and the reference graph must agree after each event.
+class RandomGraphRun {
  public:
-  explicit RandomDay(unsigned seed) : random_(seed) {}
+  explicit RandomGraphRun(unsigned seed) : random_(seed) {}
 
-  void play() {
+  void run() {
     std::vector<std::string> not_added;
     for (int i = 0; i < 30; ++i) {
       const std::string id = "wk-" + std::to_string(i);
-      PlainGraph::Job job;
+      ReferenceGraph::Job job;
       job.priority = static_cast<Priority>(random_() % 4);
       for (int draw = 0; draw < 3 && i > 0; ++draw)
         if (random_() % 2 == 0) job.dependencies.push_back("wk-" + std::to_string(random_() % i));
@@ -78,88 +80,92 @@
         add(not_added.back());
         not_added.pop_back();
       } else {
-        end_one();
+        end_random_job();
       }
-      compare();
+      expect_same_state();
     }
   }
 
  private:
   void add(const std::string& id) {
-    if (plain_.jobs[id].state != PlainGraph::State::unknown) return;
-    PlainGraph::Job job = submitted_.at(id);
-    job.state = PlainGraph::State::open;
-    for (const std::string& name : job.dependencies) plain_.jobs[name];
-    plain_.jobs[id] = job;
+    if (reference_.jobs[id].state != ReferenceGraph::State::unknown) return;
+    ReferenceGraph::Job job = submitted_.at(id);
+    job.state = ReferenceGraph::State::open;
+    for (const std::string& name : job.dependencies) reference_.jobs[name];
+    reference_.jobs[id] = job;
     const auto effects = graph_.add(id, job.priority, job.dependencies);
     EXPECT_TRUE(effects.ready.empty());
-    for (const std::string& other : effects.cancelled) EXPECT_TRUE(plain_.cancelled(other));
-    // A job that has ended has left the graph; the graph's owner reads its final status.
+    for (const std::string& other : effects.cancelled) EXPECT_TRUE(reference_.cancelled(other));
+    // A job that has ended is no longer in the graph, so a new dependent makes it unknown again.
+    // The graph's owner then reads the job's final status and reports it, which this loop imitates.
     for (const std::string& name : job.dependencies) {
       if (!graph_.unknown().contains(name)) continue;
-      if (plain_.jobs[name].state == PlainGraph::State::done) graph_.finish(name);
-      if (plain_.jobs[name].state == PlainGraph::State::cancelled) graph_.cancel(name);
+      if (reference_.jobs[name].state == ReferenceGraph::State::done) graph_.finish(name);
+      if (reference_.jobs[name].state == ReferenceGraph::State::cancelled) graph_.cancel(name);
     }
   }
 
-  // Any job may be cancelled, also one that was never added; one that is ready may be done.
-  void end_one() {
-    if (plain_.jobs.empty()) return;
-    auto at = plain_.jobs.begin();
-    std::advance(at, static_cast<long>(random_() % plain_.jobs.size()));
-    const auto& [id, job] = *at;
+  // Ends one random job. Any job may be cancelled, including one that was never added. An open job
+  // may be done only if it is ready; a job that was never added may be done as well.
+  void end_random_job() {
+    if (reference_.jobs.empty()) return;
+    auto entry = reference_.jobs.begin();
+    std::advance(entry, static_cast<long>(random_() % reference_.jobs.size()));
+    const auto& [id, job] = *entry;
     const bool ended =
-        job.state == PlainGraph::State::done || job.state == PlainGraph::State::cancelled;
+        job.state == ReferenceGraph::State::done || job.state == ReferenceGraph::State::cancelled;
     if (ended) return;
-    const bool cancel = plain_.cancelled(id) || random_() % 8 == 0;
-    if (!cancel && job.state == PlainGraph::State::open && !plain_.ready(id)) return;
-    const PlainGraph before = plain_;
-    plain_.jobs[id].state = cancel ? PlainGraph::State::cancelled : PlainGraph::State::done;
+    const bool cancel = reference_.cancelled(id) || random_() % 8 == 0;
+    if (!cancel && job.state == ReferenceGraph::State::open && !reference_.ready(id)) return;
+    const ReferenceGraph before = reference_;
+    reference_.jobs[id].state =
+        cancel ? ReferenceGraph::State::cancelled : ReferenceGraph::State::done;
     const auto effects = cancel ? graph_.cancel(id) : graph_.finish(id);
     expect_effects(before, id, effects);
   }
 
-  void expect_effects(const PlainGraph& before, const std::string& ended,
+  void expect_effects(const ReferenceGraph& before, const std::string& ended,
                       const DependencyGraph::Effects& effects) {
     std::set<std::string> ready, cancelled;
-    for (const auto& [id, job] : plain_.jobs) {
-      if (id == ended || job.state != PlainGraph::State::open) continue;
-      if (plain_.ready(id) && !before.ready(id)) ready.insert(id);
-      if (plain_.cancelled(id) && !before.cancelled(id)) cancelled.insert(id);
+    for (const auto& [id, job] : reference_.jobs) {
+      if (id == ended || job.state != ReferenceGraph::State::open) continue;
+      if (reference_.ready(id) && !before.ready(id)) ready.insert(id);
+      if (reference_.cancelled(id) && !before.cancelled(id)) cancelled.insert(id);
     }
     EXPECT_EQ(std::set(effects.ready.begin(), effects.ready.end()), ready);
     EXPECT_EQ(std::set(effects.cancelled.begin(), effects.cancelled.end()), cancelled);
     EXPECT_EQ(effects.cancelled.size(), cancelled.size());
   }
 
-  void compare() const {
-    for (const auto& [id, job] : plain_.jobs) {
-      const bool open = job.state == PlainGraph::State::open;
-      EXPECT_EQ(graph_.ready(id), open && plain_.ready(id)) << id;
+  void expect_same_state() const {
+    for (const auto& [id, job] : reference_.jobs) {
+      const bool open = job.state == ReferenceGraph::State::open;
+      EXPECT_EQ(graph_.ready(id), open && reference_.ready(id)) << id;
       if (!open) continue;
-      EXPECT_EQ(graph_.cancelled(id), plain_.cancelled(id)) << id;
-      if (plain_.cancelled(id)) continue;
-      EXPECT_EQ(graph_.undecided(id), plain_.undecided(id)) << id;
-      EXPECT_EQ(graph_.effective_priority(id), plain_.effective(id)) << id;
+      EXPECT_EQ(graph_.cancelled(id), reference_.cancelled(id)) << id;
+      if (reference_.cancelled(id)) continue;
+      EXPECT_EQ(graph_.undecided(id), reference_.undecided(id)) << id;
+      EXPECT_EQ(graph_.effective_priority(id), reference_.effective(id)) << id;
     }
   }
 
   std::mt19937 random_;
-  std::map<std::string, PlainGraph::Job> submitted_;
-  PlainGraph plain_;
+  std::map<std::string, ReferenceGraph::Job> submitted_;
+  ReferenceGraph reference_;
   DependencyGraph graph_;
 };
 
-TEST(DependencyGraph, AgreesWithAPlainModel) {
+TEST(DependencyGraph, AgreesWithTheReferenceGraph) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     SCOPED_TRACE(seed);
-    RandomDay(seed).play();
+    RandomGraphRun(seed).run();
     if (::testing::Test::HasFailure()) return;
   }
 }
 
-// Chains and fans of thousands: no recursion, and each job visited once.
-TEST(DependencyGraph, DepthAndWidthAreNotBounded) {
+// The graph handles a chain of 50000 jobs and a job with 50000 dependents. The test guards against
+// recursion, which overflows the stack, and against visiting a job more than once per query.
+TEST(DependencyGraph, HandlesDeepChainsAndWideFans) {
   constexpr int kJobs = 50000;
   DependencyGraph chain;
   chain.add("wk-0", Priority::low, {});
@@ -177,7 +183,7 @@
   EXPECT_EQ(fan.finish("wk-0").ready.size(), static_cast<std::size_t>(kJobs - 1));
 }
 
-TEST(DependencyGraph, NothingStaysOfWhatHasEnded) {
+TEST(DependencyGraph, RemovesEndedJobs) {
   DependencyGraph graph;
   graph.add("wk-1", Priority::low, {});
   graph.add("wk-2", Priority::low, {"wk-1", "wk-9"});
--- a/tests/model/plain_scheduler.h
+++ b/tests/model/plain_scheduler.h
@@ -1,5 +1,5 @@
-// A reference scheduler that is plain rather than quick: first fit, everything counted again for
-// each decision from the list of placements. The tests compare the real one with it.
+// A reference scheduler that favors simplicity over speed. It uses first fit and recomputes all
+// usage from the list of placements for each decision. The tests compare sched::run_pass() with it.
 #pragma once
 
 #include <algorithm>
@@ -24,18 +24,18 @@
   bool operator==(const Placed& other) const = default;
 };
 
-class PlainScheduler {
+class ReferenceScheduler {
  public:
-  explicit PlainScheduler(const sched::ClusterSnapshot& snapshot) : snapshot_(snapshot) {}
+  explicit ReferenceScheduler(const sched::ClusterSnapshot& snapshot) : snapshot_(snapshot) {}
 
   std::vector<Placed> run() {
     std::vector<std::size_t> queue;
     for (std::size_t job_index = 0; job_index < snapshot_.jobs.size(); ++job_index)
       queue.push_back(job_index);
-    // A plain bubble sort by the three rules of the queue.
+    // A bubble sort in queue order: priority, fair-share rank, creation time, id.
     for (std::size_t a = 0; a < queue.size(); ++a)
       for (std::size_t b = 0; b + 1 < queue.size(); ++b)
-        if (before(snapshot_.jobs[queue[b + 1]], snapshot_.jobs[queue[b]]))
+        if (goes_before(snapshot_.jobs[queue[b + 1]], snapshot_.jobs[queue[b]]))
           std::swap(queue[b], queue[b + 1]);
     for (const std::size_t job_index : queue) {
       const auto& job = snapshot_.jobs[job_index];
@@ -43,14 +43,14 @@
       if (job.kind == wire::JobKind::gang)
         place_gang(job_index);
       else
-        fill(job_index, "", false);
+        place_tasks(job_index, "", false);
     }
-    std::sort(out_.begin(), out_.end());
-    return out_;
+    std::sort(placements_.begin(), placements_.end());
+    return placements_;
   }
 
  private:
-  static bool before(const sched::JobView& a, const sched::JobView& b) {
+  static bool goes_before(const sched::JobView& a, const sched::JobView& b) {
     if (a.priority != b.priority) return a.priority < b.priority;
     if (a.fair_share_rank != b.fair_share_rank) return a.fair_share_rank < b.fair_share_rank;
     if (a.created_ms != b.created_ms) return a.created_ms < b.created_ms;
@@ -70,60 +70,63 @@
           zones.push_back(machine.zone);
       std::sort(zones.begin(), zones.end());
     }
-    const auto earlier_jobs = out_;
-    auto best = out_;
+    const auto earlier_jobs = placements_;
+    auto best = placements_;
     double best_cost = 0;
     for (const auto& zone : zones) {
-      out_ = earlier_jobs;
+      placements_ = earlier_jobs;
       double cost = 0;
-      fill(job_index, zone, true);
-      for (std::size_t placed = earlier_jobs.size(); placed < out_.size(); ++placed) {
-        const auto& machine = snapshot_.machines[out_[placed].machine];
+      place_tasks(job_index, zone, true);
+      for (std::size_t placed = earlier_jobs.size(); placed < placements_.size(); ++placed) {
+        const auto& machine = snapshot_.machines[placements_[placed].machine];
         cost += machine.price * (machine.images.count(job.image) ? 1 : 2);
       }
-      if (out_.size() > best.size() ||
-          (out_.size() == best.size() && out_.size() > earlier_jobs.size() && cost < best_cost)) {
-        best = out_;
+      if (placements_.size() > best.size() ||
+          (placements_.size() == best.size() && placements_.size() > earlier_jobs.size() &&
+           cost < best_cost)) {
+        best = placements_;
         best_cost = cost;
       }
     }
-    const bool whole = best.size() - earlier_jobs.size() == job.pending.size();
-    out_ = whole || !job.all_or_nothing ? best : earlier_jobs;
-    if (whole)
-      for (auto& placed : out_)
+    const bool is_complete = best.size() - earlier_jobs.size() == job.pending.size();
+    placements_ = is_complete || !job.all_or_nothing ? best : earlier_jobs;
+    if (is_complete)
+      for (auto& placed : placements_)
         if (placed.job == job_index) placed.reserved = false;
   }
 
-  // Machine after machine is filled with the first tasks that have no place yet. Where only tasks
-  // are left that must avoid it, one of them changes places with one placed before.
-  void fill(std::size_t job_index, const std::string& zone, bool reserved) {
+  // Fills one machine after the other with the first unplaced tasks. If all unplaced tasks must
+  // avoid the machine, a task that is already placed moves there, and an unplaced task takes over
+  // that task's machine.
+  void place_tasks(std::size_t job_index, const std::string& zone, bool reserved) {
     const auto& job = snapshot_.jobs[job_index];
-    const auto first = out_.size();
+    const auto first = placements_.size();
     const auto may_use = [&](std::uint32_t task, std::size_t machine_index) {
       return job.anti_affinity.count({task, machine_index}) == 0;
     };
-    const auto add_one = [&](std::size_t machine_index) {
-      std::vector<std::uint32_t> rest;
+    const auto add_one_task = [&](std::size_t machine_index) {
+      std::vector<std::uint32_t> unplaced;
       for (const auto task : job.pending) {
         bool is_placed = false;
-        for (auto earlier = first; earlier < out_.size(); ++earlier)
-          is_placed = is_placed || out_[earlier].task == task;
-        if (!is_placed) rest.push_back(task);
+        for (auto earlier = first; earlier < placements_.size(); ++earlier)
+          is_placed = is_placed || placements_[earlier].task == task;
+        if (!is_placed) unplaced.push_back(task);
       }
-      for (const auto task : rest)
+      for (const auto task : unplaced)
         if (may_use(task, machine_index))
-          return out_.push_back({job_index, task, machine_index, reserved}), true;
-      for (const auto task : rest)
-        for (auto earlier = first; earlier < out_.size(); ++earlier)
-          if (may_use(out_[earlier].task, machine_index) && may_use(task, out_[earlier].machine)) {
-            out_.push_back({job_index, out_[earlier].task, machine_index, reserved});
-            out_[earlier].task = task;
+          return placements_.push_back({job_index, task, machine_index, reserved}), true;
+      for (const auto task : unplaced)
+        for (auto earlier = first; earlier < placements_.size(); ++earlier)
+          if (may_use(placements_[earlier].task, machine_index) &&
+              may_use(task, placements_[earlier].machine)) {
+            placements_.push_back({job_index, placements_[earlier].task, machine_index, reserved});
+            placements_[earlier].task = task;
             return true;
           }
       return false;
     };
     for (std::size_t machine_index = 0; machine_index < snapshot_.machines.size(); ++machine_index)
-      while (fits(job_index, machine_index, zone) && add_one(machine_index)) continue;
+      while (fits(job_index, machine_index, zone) && add_one_task(machine_index)) continue;
   }
 
   bool fits(std::size_t job_index, std::size_t machine_index, const std::string& zone) const {
@@ -138,30 +141,30 @@
     sched::Resources free = machine.free;
     sched::Resources team{snapshot_.teams.at(job.team).cpus, snapshot_.teams.at(job.team).gpus, 0};
     auto in_zone = job.placed;
-    for (const auto& placed : out_) {
+    for (const auto& placed : placements_) {
       const auto& other = snapshot_.jobs[placed.job];
       if (placed.machine == machine_index) free -= other.request;
       if (other.team == job.team) team += other.request;
       if (placed.job == job_index) ++in_zone[snapshot_.machines[placed.machine].zone];
     }
-    const auto& limit = snapshot_.teams.at(job.team);
-    if (limit.cpus_max && job.request.cpus > 0 &&
-        team.cpus + job.request.cpus > *limit.cpus_max + 1e-6)
+    const auto& quota = snapshot_.teams.at(job.team);
+    if (quota.cpus_max && job.request.cpus > 0 &&
+        team.cpus + job.request.cpus > *quota.cpus_max + 1e-6)
       return false;
-    if (limit.gpus_max && job.request.gpus > 0 &&
-        team.gpus + job.request.gpus > *limit.gpus_max + 1e-6)
+    if (quota.gpus_max && job.request.gpus > 0 &&
+        team.gpus + job.request.gpus > *quota.gpus_max + 1e-6)
       return false;
     if (!job.request.fits_in(free)) return false;
-    bool elsewhere = false;
+    bool in_other_zone = false;
     for (const auto& [zone_name, count] : in_zone)
-      elsewhere = elsewhere || (count > 0 && zone_name != machine.zone);
-    if (job.one_zone && elsewhere) return false;
+      in_other_zone = in_other_zone || (count > 0 && zone_name != machine.zone);
+    if (job.one_zone && in_other_zone) return false;
     if (job.spread && in_zone[machine.zone] + 1 > (job.tasks + 1) / 2) return false;
     return true;
   }
 
   const sched::ClusterSnapshot& snapshot_;
-  std::vector<Placed> out_;
+  std::vector<Placed> placements_;
 };
 
 }  // namespace seampass::model
--- a/tests/sched_builders.h
+++ b/tests/sched_builders.h
@@ -1,4 +1,4 @@
-// Jobs and clusters for the tests of src/sched.
+// Builders of jobs and cluster snapshots for the tests of src/sched.
 #pragma once
 
 #include <cstdint>
@@ -11,77 +11,80 @@
 
 namespace seampass::sched {
 
-inline const std::optional<std::vector<std::string>> kAny;
-inline const std::optional<std::vector<std::string>> kOnlyBig = std::vector<std::string>{"big"};
+inline const std::optional<std::vector<std::string>> kAnyType;
+inline const std::optional<std::vector<std::string>> kBigTypeOnly = std::vector<std::string>{"big"};
 
-// A job of team red, all of whose tasks are pending.
-inline JobView waiting(const std::string& id, wire::JobKind kind, std::uint32_t tasks,
-                       Resources request) {
+// Returns a job of team red with all tasks pending. It may use machines of any type and spot kind.
+inline JobView pending_job(const std::string& id, wire::JobKind kind, std::uint32_t tasks,
+                           Resources request) {
   JobView job;
   job.id = id;
   job.team = "red";
   job.kind = kind;
   job.request = request;
-  job.types = &kAny;
+  job.types = &kAnyType;
   job.tasks = tasks;
   job.spot = true;
   for (std::uint32_t task = 0; task < tasks; ++task) job.pending.push_back(task);
   return job;
 }
 
-// A small cluster, with all that a pass has to take into account. The same seed gives the same one.
+// Returns a small random cluster snapshot that varies the properties that a pass takes into
+// account: quotas, machine kinds, zones, priorities, job kinds, anti-affinity and reserved zones.
+// The same generator state gives the same snapshot.
 inline ClusterSnapshot random_snapshot(std::mt19937& random, MachineChoice choice) {
-  const auto pick = [&](unsigned bound) { return static_cast<unsigned>(random() % bound); };
+  const auto random_below = [&](unsigned bound) { return static_cast<unsigned>(random() % bound); };
   ClusterSnapshot snapshot;
   snapshot.choice = choice;
   for (const char* name : {"red", "blue"}) {
     TeamView& team = snapshot.teams[name];
-    if (pick(2)) team.gpus_max = 2.0 + pick(12);
-    if (pick(3) == 0) team.cpus_max = 8.0 + pick(40);
-    team.gpus = pick(2);
+    if (random_below(2)) team.gpus_max = 2.0 + random_below(12);
+    if (random_below(3) == 0) team.cpus_max = 8.0 + random_below(40);
+    team.gpus = random_below(2);
   }
-  const unsigned machines = 1 + pick(9);
+  const unsigned machines = 1 + random_below(9);
   for (unsigned i = 0; i < machines; ++i) {
     MachineView machine;
     machine.name = "m" + std::to_string(i);
-    machine.type = pick(2) ? "big" : "small";
-    machine.zone = std::string(1, static_cast<char>('a' + pick(3)));
-    machine.spot = pick(3) == 0;
-    machine.schedulable = pick(6) != 0;
+    machine.type = random_below(2) ? "big" : "small";
+    machine.zone = std::string(1, static_cast<char>('a' + random_below(3)));
+    machine.spot = random_below(3) == 0;
+    machine.schedulable = random_below(6) != 0;
     machine.total = {machine.type == "big" ? 16.0 : 4.0, machine.type == "big" ? 4.0 : 0.0, 64};
     machine.free = machine.total;
-    machine.free.cpus -= pick(4);
-    machine.price = 1 + pick(5);
-    if (pick(2)) machine.images.insert("i" + std::to_string(pick(2)));
+    machine.free.cpus -= random_below(4);
+    machine.price = 1 + random_below(5);
+    if (random_below(2)) machine.images.insert("i" + std::to_string(random_below(2)));
     snapshot.machines.push_back(machine);
   }
-  const unsigned jobs = 1 + pick(10);
+  const unsigned jobs = 1 + random_below(10);
   for (unsigned i = 0; i < jobs; ++i) {
     JobView job;
     job.id = "wk-" + std::to_string(100 + i);
-    job.team = pick(2) ? "red" : "blue";
-    job.kind = pick(2) ? wire::JobKind::gang : wire::JobKind::array;
-    job.priority = static_cast<wire::Priority>(pick(4));
-    job.fair_share_rank = pick(4) == 0 ? 1 + pick(2) : 0;
-    job.created_ms = pick(4);
-    job.request = {1.0 + pick(5), pick(2) * 1.0, 8.0 * pick(4)};
-    job.types = pick(3) == 0 ? &kOnlyBig : &kAny;
-    if (pick(5) == 0) job.zone = "b";
-    job.one_zone = pick(2);
-    job.spread = !job.one_zone && pick(3) == 0;
-    job.spot = pick(2);
-    job.image = "i" + std::to_string(pick(2));
-    job.tasks = 1 + pick(6);
+    job.team = random_below(2) ? "red" : "blue";
+    job.kind = random_below(2) ? wire::JobKind::gang : wire::JobKind::array;
+    job.priority = static_cast<wire::Priority>(random_below(4));
+    job.fair_share_rank = random_below(4) == 0 ? 1 + random_below(2) : 0;
+    job.created_ms = random_below(4);
+    job.request = {1.0 + random_below(5), random_below(2) * 1.0, 8.0 * random_below(4)};
+    job.types = random_below(3) == 0 ? &kBigTypeOnly : &kAnyType;
+    if (random_below(5) == 0) job.zone = "b";
+    job.one_zone = random_below(2);
+    job.spread = !job.one_zone && random_below(3) == 0;
+    job.spot = random_below(2);
+    job.image = "i" + std::to_string(random_below(2));
+    job.tasks = 1 + random_below(6);
     for (std::uint32_t task = 0; task < job.tasks; ++task) job.pending.push_back(task);
-    if (job.kind == wire::JobKind::array && pick(2) && job.tasks > 1) {
+    if (job.kind == wire::JobKind::array && random_below(2) && job.tasks > 1) {
       job.pending.erase(job.pending.begin());
-      job.placed[std::string(1, static_cast<char>('a' + pick(3)))] = 1;
+      job.placed[std::string(1, static_cast<char>('a' + random_below(3)))] = 1;
     }
-    for (int left = pick(3) == 0 ? 4 : 0; left > 0; --left)
-      job.anti_affinity.insert({static_cast<std::uint32_t>(pick(6)), pick(machines)});
-    job.blocked = pick(8) == 0;
-    job.all_or_nothing = pick(4) == 0;
-    if (job.one_zone && pick(6) == 0) job.reserved_zone = "c";
+    for (int remaining_pairs = random_below(3) == 0 ? 4 : 0; remaining_pairs > 0; --remaining_pairs)
+      job.anti_affinity.insert(
+          {static_cast<std::uint32_t>(random_below(6)), random_below(machines)});
+    job.blocked = random_below(8) == 0;
+    job.all_or_nothing = random_below(4) == 0;
+    if (job.one_zone && random_below(6) == 0) job.reserved_zone = "c";
     snapshot.jobs.push_back(job);
   }
   return snapshot;
--- a/tests/sched_consolidation_test.cc
+++ b/tests/sched_consolidation_test.cc
@@ -6,7 +6,7 @@
 namespace seampass::sched {
 namespace {
 
-TEST(Sched, EmptiesMachinesOnlyWhereTheirTasksFitOnFullerOnes) {
+TEST(Sched, ConsolidatesOnlyMachinesWhoseTasksFitOnFullerOnes) {
   ClusterSnapshot snapshot;
   MachineView machine;
   machine.type = "big";
@@ -24,23 +24,25 @@
     snapshot.machines.push_back(machine);
   }
   using Indices = std::vector<std::size_t>;
-  EXPECT_EQ(consolidation_candidates(snapshot, 1, 3, 9),
-            Indices{0});  // the one task goes to the machine of three
-  ClusterSnapshot other = snapshot;
-  other.machines[0].preemptible_tasks[0].remaining_s = 11;  // hardly longer than its stop and start
-  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
-  other = snapshot;
-  other.machines[1].images.clear();  // the machine of two has the image, and room
-  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{0});
-  other.machines[2].images.clear();
-  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
-  other = snapshot;
-  other.machines[1].spot = other.machines[2].spot = true;  // the task may not use those
-  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
-  other = snapshot;
-  other.machines[0].tasks = 2;  // one more on it that can't be moved
-  EXPECT_EQ(consolidation_candidates(other, 1, 3, 9), Indices{});
-  snapshot.jobs.push_back(waiting("wk-1", wire::JobKind::array, 1, {9, 1, 8}));  // somebody waits
+  // The only task of machine 0 moves to the machine with three tasks.
+  EXPECT_EQ(consolidation_candidates(snapshot, 1, 3, 9), Indices{0});
+  ClusterSnapshot changed = snapshot;
+  // The remaining run time is below 3 x (3 s save + 1 s restart) = 12 s.
+  changed.machines[0].preemptible_tasks[0].remaining_s = 11;
+  EXPECT_EQ(consolidation_candidates(changed, 1, 3, 9), Indices{});
+  changed = snapshot;
+  changed.machines[1].images.clear();  // the machine with two tasks still has the image
+  EXPECT_EQ(consolidation_candidates(changed, 1, 3, 9), Indices{0});
+  changed.machines[2].images.clear();
+  EXPECT_EQ(consolidation_candidates(changed, 1, 3, 9), Indices{});
+  changed = snapshot;
+  changed.machines[1].spot = changed.machines[2].spot = true;  // the task may not use spot machines
+  EXPECT_EQ(consolidation_candidates(changed, 1, 3, 9), Indices{});
+  changed = snapshot;
+  changed.machines[0].tasks = 2;  // the second task is not preemptible
+  EXPECT_EQ(consolidation_candidates(changed, 1, 3, 9), Indices{});
+  // No machine is emptied while a job is pending.
+  snapshot.jobs.push_back(pending_job("wk-1", wire::JobKind::array, 1, {9, 1, 8}));
   EXPECT_EQ(consolidation_candidates(snapshot, 1, 3, 9), Indices{});
 }
 
--- a/tests/sched_pass_test.cc
+++ b/tests/sched_pass_test.cc
@@ -10,7 +10,7 @@
 namespace seampass::sched {
 namespace {
 
-std::vector<model::Placed> placements(const Decisions& decisions) {
+std::vector<model::Placed> sorted_placements(const Decisions& decisions) {
   std::vector<model::Placed> list;
   for (const JobPlacements& batch : decisions.starts)
     for (const Placement& placement : batch.tasks)
@@ -22,62 +22,65 @@
   return list;
 }
 
-TEST(Sched, AgreesWithThePlainModel) {
+TEST(Sched, PassAgreesWithTheReferenceScheduler) {
   std::mt19937 random(4711);
   int started = 0, reserved = 0;
   for (int round = 0; round < 3000; ++round) {
     ClusterSnapshot snapshot = random_snapshot(random, MachineChoice::first_fit);
     const ClusterSnapshot before = snapshot;
     const Decisions decisions = run_pass(snapshot);
-    const std::vector<model::Placed> real = placements(decisions);
-    ASSERT_EQ(real, model::PlainScheduler(before).run()) << "round " << round;
-    for (const auto& placement : real) (placement.reserved ? reserved : started) += 1;
+    const std::vector<model::Placed> actual = sorted_placements(decisions);
+    ASSERT_EQ(actual, model::ReferenceScheduler(before).run()) << "round " << round;
+    for (const auto& placement : actual) (placement.reserved ? reserved : started) += 1;
   }
   EXPECT_GT(started, 5000);
   EXPECT_GT(reserved, 300);
 }
 
-// At the size of a large deployment: the same decisions as the plain model's, at a cost that goes
-// by machines and jobs, not by machines times tasks.
-TEST(Sched, LooksAtFewMachinesInALargeCluster) {
+// In a large cluster, a pass makes the same decisions as the reference scheduler, and its cost
+// depends on the numbers of machines and jobs, not on machines times tasks. The test guards against
+// a pass that compares every task with every machine.
+TEST(Sched, PassExaminesFewMachinesInALargeCluster) {
   std::mt19937 random(8);
-  const auto pick = [&](unsigned bound) { return static_cast<unsigned>(random() % bound); };
+  const auto random_below = [&](unsigned bound) { return static_cast<unsigned>(random() % bound); };
   ClusterSnapshot snapshot;
   snapshot.choice = MachineChoice::first_fit;
   snapshot.teams["red"];
   for (int i = 0; i < 1300; ++i) {
     MachineView machine;
     machine.name = "m" + std::to_string(i);
-    machine.type = pick(2) ? "big" : "small";
-    machine.zone = std::string(1, static_cast<char>('a' + pick(3)));
+    machine.type = random_below(2) ? "big" : "small";
+    machine.zone = std::string(1, static_cast<char>('a' + random_below(3)));
     machine.schedulable = true;
     machine.total = {16, 4, 64};
-    // Nearly all are full, as machines of a busy cluster are; some room is left over on each.
-    machine.free = pick(40) == 0 ? machine.total : Resources{pick(3) * 1.0, 0, 8};
+    // Nearly all machines are full, as in a busy cluster. Each has a small remainder of free
+    // resources.
+    machine.free = random_below(40) == 0 ? machine.total : Resources{random_below(3) * 1.0, 0, 8};
     snapshot.machines.push_back(machine);
   }
   std::size_t tasks = 0;
   for (int i = 0; i < 60; ++i) {
-    JobView job = waiting("wk-" + std::to_string(100 + i),
-                          pick(2) ? wire::JobKind::gang : wire::JobKind::array, 1 + pick(12),
-                          {4.0 + pick(4), 1, 8});
+    JobView job = pending_job("wk-" + std::to_string(100 + i),
+                              random_below(2) ? wire::JobKind::gang : wire::JobKind::array,
+                              1 + random_below(12), {4.0 + random_below(4), 1, 8});
     job.one_zone = job.kind == wire::JobKind::gang;
-    job.created_ms = pick(50);
+    job.created_ms = random_below(50);
     tasks += job.tasks;
     snapshot.jobs.push_back(job);
   }
   const ClusterSnapshot before = snapshot;
   const Decisions decisions = run_pass(snapshot);
-  const std::vector<model::Placed> real = placements(decisions);
-  EXPECT_EQ(real, model::PlainScheduler(before).run());
-  EXPECT_GT(real.size(), 30u);
-  EXPECT_LT(decisions.machines_examined,
-            snapshot.machines.size() * 16);  // a look at each machine for each task is 300 times
+  const std::vector<model::Placed> actual = sorted_placements(decisions);
+  EXPECT_EQ(actual, model::ReferenceScheduler(before).run());
+  EXPECT_GT(actual.size(), 30u);
+  // Examining every machine for each task would make the factor larger than 300 (see below).
+  EXPECT_LT(decisions.machines_examined, snapshot.machines.size() * 16);
   EXPECT_GT(tasks, 300u);
 }
 
-// Scored choice puts tasks elsewhere, but under the same limits.
-TEST(Sched, ScoredChoiceKeepsEveryLimit) {
+// Scored machine choice differs from the reference scheduler's first fit, so this test checks the
+// placements against the limits instead: filter, zone rules, quota, free resources and gang rules.
+TEST(Sched, ScoredChoiceRespectsAllLimits) {
   std::mt19937 random(99);
   for (int round = 0; round < 3000; ++round) {
     ClusterSnapshot snapshot = random_snapshot(random, MachineChoice::scored);
@@ -102,14 +105,15 @@
         team.gpus += job.request.gpus;
         ++zones[machine.zone];
       }
-      std::uint32_t used = 0;
+      std::uint32_t used_zones = 0;
       for (const auto& [zone, count] : zones) {
-        used += count > 0 ? 1 : 0;
+        used_zones += count > 0 ? 1 : 0;
         ASSERT_TRUE(!job.spread || count <= (job.tasks + 1) / 2);
       }
-      ASSERT_TRUE(!job.one_zone || used <= 1);
+      ASSERT_TRUE(!job.one_zone || used_zones <= 1);
       if (job.kind == wire::JobKind::gang) {
-        // A gang starts whole or reserves room; one that timed out reserves nothing.
+        // A gang starts as a whole or reserves resources. A gang whose reservations timed out
+        // reserves nothing.
         ASSERT_EQ(batch.tasks.size() == job.pending.size(), start);
         ASSERT_TRUE(start || !job.all_or_nothing);
       }
--- a/tests/sched_preemption_test.cc
+++ b/tests/sched_preemption_test.cc
@@ -6,7 +6,7 @@
 namespace seampass::sched {
 namespace {
 
-TEST(Sched, ClearsRoomOnlyForUrgentWorkOfHigherPriority) {
+TEST(Sched, PreemptsOnlyForUrgentJobsOfHigherPriority) {
   ClusterSnapshot snapshot;
   MachineView machine;
   machine.type = "big";
@@ -19,22 +19,25 @@
   snapshot.machines = {machine, machine};
   snapshot.machines[1].preemptible_tasks.pop_back();
   snapshot.machines[1].free.cpus = 4;
-  JobView job = waiting("wk-1", wire::JobKind::gang, 1, {8, 0, 16});
+  JobView job = pending_job("wk-1", wire::JobKind::gang, 1, {8, 0, 16});
   job.urgent = true;
   snapshot.jobs = {job};
-  ClusterSnapshot same = snapshot;
-  EXPECT_TRUE(run_pass(same).preemptions.empty());  // equal priority stops nothing
+  ClusterSnapshot pass_input = snapshot;
+  // Tasks of equal priority are not preempted.
+  EXPECT_TRUE(run_pass(pass_input).preemptions.empty());
   snapshot.jobs[0].priority = wire::Priority::high;
-  same = snapshot;
-  const Decisions decisions = run_pass(same);
+  pass_input = snapshot;
+  const Decisions decisions = run_pass(pass_input);
   ASSERT_EQ(decisions.preemptions.size(), 1u);
-  EXPECT_EQ(decisions.preemptions[0].machine, 1u);  // one task there, two on the other
+  // Machine 1 has the fewest tasks to stop: one, against two on machine 0.
+  EXPECT_EQ(decisions.preemptions[0].machine, 1u);
   EXPECT_EQ(decisions.preemptions[0].tasks.size(), 1u);
-  // Once cleared, the room is for that job alone, and it clears no more.
+  // After the preemption only the nominated job may use the machine, even if another job has a
+  // higher priority, and the nominated job preempts nothing more.
   snapshot.machines[1].nominated_job = "wk-1";
   snapshot.machines[1].free = {8, 4, 64};
   snapshot.machines[1].preemptible_tasks.clear();
-  JobView other = waiting("wk-0", wire::JobKind::array, 1, {4, 0, 8});
+  JobView other = pending_job("wk-0", wire::JobKind::array, 1, {4, 0, 8});
   other.priority = wire::Priority::critical;
   snapshot.jobs = {other, snapshot.jobs[0]};
   const Decisions after = run_pass(snapshot);
--- a/tests/sched_scaling_test.cc
+++ b/tests/sched_scaling_test.cc
@@ -6,12 +6,12 @@
 namespace seampass::sched {
 namespace {
 
-TEST(Sched, RentsTheCheapestThatFitsAndCountsWhatIsBooting) {
+TEST(Sched, RentsTheCheapestFittingMachinesAndCountsBootingOnes) {
   const std::vector<ScaleOutOption> options = {{"big", "a", false, 4, {16, 4, 64}},
                                                {"big", "b", true, 1.5, {16, 4, 64}},
                                                {"small", "a", false, 1, {4, 0, 16}}};
   ClusterSnapshot snapshot;
-  snapshot.jobs.push_back(waiting("wk-1", wire::JobKind::array, 6, {4, 1, 8}));
+  snapshot.jobs.push_back(pending_job("wk-1", wire::JobKind::array, 6, {4, 1, 8}));
   auto scale_out = plan_scaling(snapshot, options, {}).scale_out;
   ASSERT_EQ(scale_out.size(), 1u);
   EXPECT_EQ(scale_out[0].option, 1u);
@@ -27,7 +27,7 @@
   EXPECT_EQ(scale_out[0].count, 1);
   snapshot.jobs[0].spot = false;
   EXPECT_EQ(plan_scaling(snapshot, options, {}).scale_out[0].option, 0u);
-  snapshot.teams["red"].gpus_max = 4;  // no more than the limit lets run
+  snapshot.teams["red"].gpus_max = 4;  // the quota allows no more than 4 tasks
   EXPECT_TRUE(plan_scaling(snapshot, options, {}).scale_out.empty());
 }
 
@@ -35,7 +35,7 @@
   const std::vector<ScaleOutOption> options = {{"small", "a", false, 1, {4, 0, 16}},
                                                {"small", "b", true, 0.5, {4, 0, 16}}};
   ClusterSnapshot snapshot;
-  snapshot.jobs.push_back(waiting("wk-1", wire::JobKind::gang, 3, {4, 0, 8}));
+  snapshot.jobs.push_back(pending_job("wk-1", wire::JobKind::gang, 3, {4, 0, 8}));
   snapshot.jobs[0].one_zone = true;
   snapshot.jobs[0].spot = false;
   const auto scale_out = plan_scaling(snapshot, options, {}).scale_out;
@@ -54,9 +54,9 @@
   machine.price = 1;
   machine.total = machine.free = {4, 0, 16};
   snapshot.machines = {machine, machine};
-  Headroom headroom{waiting("", wire::JobKind::array, 4, {4, 0, 8}), 3, 2};
+  Headroom headroom{pending_job("", wire::JobKind::array, 4, {4, 0, 8}), 3, 2};
   ScalingPlan plan = plan_scaling(snapshot, options, {headroom});
-  EXPECT_EQ(plan.headroom_machines.size(), 2u);  // two are there, and the budget pays for one more
+  EXPECT_EQ(plan.headroom_machines.size(), 2u);  // both exist already; the budget covers one more
   ASSERT_EQ(plan.scale_out.size(), 1u);
   EXPECT_EQ(plan.scale_out[0].count, 1);
   headroom.max_price = 0.5;
