--- a/src/leader/records/job_writes.cc
+++ b/src/leader/records/job_writes.cc
@@ -10,13 +10,13 @@
   dirty = true;
 }
 
-void RecordState::mark_unsent() {
+void RecordState::mark_unwritten() {
   sending = false;
   dirty = true;
 }
 
-void RecordState::move_waiters_to(std::vector<std::function<void()>>& list) {
-  for (auto& waiter : waiters) list.push_back(std::move(waiter));
+void RecordState::move_waiters_to(std::vector<std::function<void()>>& destination) {
+  for (auto& waiter : waiters) destination.push_back(std::move(waiter));
   waiters.clear();
 }
 
@@ -31,7 +31,7 @@
                       [](const auto& entry) { return entry.second.exists(); });
 }
 
-std::vector<RecordId> JobWrites::existing() const {
+std::vector<RecordId> JobWrites::existing_records() const {
   std::vector<RecordId> ids;
   for (const auto& [id, record] : records)
     if (record.exists()) ids.push_back(id);
@@ -39,15 +39,15 @@
 }
 
 std::optional<RecordId> JobWrites::chunk_in_use() const {
-  // Chunks come after the segments in the order of ids.
+  // Record ids sort all segments before all chunks, so the search starts at the first chunk.
   const auto chunk = std::find_if(
       records.lower_bound({Layout::chunks, 0}), records.end(),
-      [](const auto& entry) { return !entry.second.replaced && entry.second.exists(); });
+      [](const auto& entry) { return !entry.second.being_replaced && entry.second.exists(); });
   if (chunk == records.end()) return std::nullopt;
   return chunk->first;
 }
 
-bool JobWrites::writing(Layout layout) const {
+bool JobWrites::has_pending_writes(Layout layout) const {
   return std::any_of(records.begin(), records.end(), [layout](const auto& entry) {
     return entry.first.layout == layout && !entry.second.settled();
   });
--- a/src/leader/records/job_writes.h
+++ b/src/leader/records/job_writes.h
@@ -1,5 +1,6 @@
-// What the RecordStore knows of one job: its records, its final status, and the transaction of it
-// that is on its way. Plain state with its queries; the RecordStore alone changes it.
+// JobWrites is the state that the RecordStore holds for one job: the job's durable records, its
+// final status, and its transaction in flight. These are plain values with queries. Only the
+// RecordStore and its WriteBatchBuilder modify them.
 #pragma once
 
 #include <cstdint>
@@ -14,46 +15,49 @@
 
 namespace seampass::leader {
 
-// One record, as it is in the store and as it is to become.
+// The stored version of one record, and the write that is pending for it.
 struct RecordState {
-  state::Version version = 0;  // as last known; 0: it does not exist
-  // Changed since it was last put into a transaction. May hold while `sending` does.
+  state::Version version = 0;  // the last known stored version; 0 if the record does not exist
+  // The content has changed since the record was last put into a transaction. A record can be dirty
+  // while an earlier write of it is in flight.
   bool dirty = false;
-  bool sending = false;
-  bool replaced = false;  // to be deleted once the records that replace it are durable
+  bool sending = false;  // a transaction with this record is queued in the client or in flight
+  bool being_replaced = false;  // to be deleted once the records that replace this one are durable
   state::Urgency urgency = state::Urgency::progress;
-  std::vector<std::function<void()>> waiters;  // for what it holds by now to be durable
+  // Callbacks to run once the current content of the record is durable.
+  std::vector<std::function<void()>> waiters;
 
-  // It is or may be in the store, or will be.
+  // Returns true if the record is stored, may be stored or has a pending write.
   [[nodiscard]] bool exists() const { return version != 0 || dirty || sending; }
   [[nodiscard]] bool settled() const { return !dirty && !sending; }
   void mark_dirty(state::Urgency at_least);
-  // Its transaction was not carried out, as far as is known.
-  void mark_unsent();
-  void move_waiters_to(std::vector<std::function<void()>>& list);
+  // Makes the record dirty again after its transaction was not executed or had an unknown outcome.
+  void mark_unwritten();
+  void move_waiters_to(std::vector<std::function<void()>>& destination);
 };
 
-// A final status that is to be written.
+// A final status that is not durable yet.
 struct PendingFinalStatus {
-  state::Version open_version =
-      0;  // of the job's open record, which goes with the same transaction
+  // The version of the job's open record. The same transaction deletes that record.
+  state::Version open_version = 0;
   wire::Stage stage = wire::Stage::done;
-  std::uint64_t done = 0;  // tasks
+  std::uint64_t done = 0;  // number of finished tasks
   state::Urgency urgency = state::Urgency::final_status;
-  std::function<void(wire::Stage)> durable;
+  std::function<void(wire::Stage)> on_durable;
 };
 
-// The one transaction of a job that may be on its way.
+// The transaction of a job that is queued in the client or in flight. A job has at most one.
 struct Transmission {
   enum class Phase {
-    idle,          // none: the next may be sent
-    withdrawable,  // with the client, where it may still wait for its turn
-    committed,     // with the client, and not to be withdrawn
-    reading_back,  // its outcome is not known: what the store holds is being read
+    idle,              // no transaction: the next one may be sent
+    withdrawable,      // given to the client, which may still have it queued
+    not_withdrawable,  // given to the client, and must not be withdrawn
+    reading_back,      // the outcome is unknown, and the stored records are being read
   };
 
   Phase phase = Phase::idle;
-  // Of what was sent last; the ticket while it is withdrawable.
+  // The following members describe the last transaction that was sent. `ticket` is valid only in
+  // the phase `withdrawable`.
   state::Client::Ticket ticket = 0;
   state::Urgency urgency = state::Urgency::progress;
   std::vector<RecordId> records;
@@ -63,14 +67,14 @@
 
 struct JobWrites {
   enum class FinalStatusState {
-    none,     // this leader neither wrote nor found one
-    pending,  // to be written, or on its way
-    durable,  // in the store, whoever wrote it
+    none,     // this leader has neither written nor found a final status
+    pending,  // a final status is queued or in flight
+    durable,  // a final status is stored, written by this leader or another
   };
 
   std::map<RecordId, RecordState> records;
   FinalStatusState final_status_state = FinalStatusState::none;
-  PendingFinalStatus final_status;  // while it is pending
+  PendingFinalStatus final_status;  // valid while the state is `pending`
   Transmission transmission;
 
   [[nodiscard]] bool final_status_pending() const {
@@ -79,14 +83,18 @@
   [[nodiscard]] bool final_status_durable() const {
     return final_status_state == FinalStatusState::durable;
   }
+  // Returns true if the record has no write queued or in flight.
   [[nodiscard]] bool settled(const RecordId& id) const;
-  // Nothing of the job is in the store, waits or is on its way.
+  // Returns true if no record of the job is stored, nothing of the job is queued and no transaction
+  // of it is in flight.
   [[nodiscard]] bool settled() const;
-  [[nodiscard]] std::vector<RecordId> existing() const;
-  // The first chunk that is or may be in the store and is not being replaced.
+  // Returns the records that are stored, may be stored or have a pending write.
+  [[nodiscard]] std::vector<RecordId> existing_records() const;
+  // Returns the first chunk that is stored, may be stored or has a pending write, and that is not
+  // being replaced.
   [[nodiscard]] std::optional<RecordId> chunk_in_use() const;
-  // A record of this layout waits to be written, or is on its way.
-  [[nodiscard]] bool writing(Layout layout) const;
+  // Returns true if a record of this layout has a write queued or in flight.
+  [[nodiscard]] bool has_pending_writes(Layout layout) const;
 };
 
 }  // namespace seampass::leader
--- a/src/leader/records/keys.cc
+++ b/src/leader/records/keys.cc
@@ -10,7 +10,7 @@
 constexpr char kSegmentMark = 's';
 constexpr char kSeparator = '/';
 
-// What follows the prefix; none if the key does not begin with it.
+// Returns the key without the prefix, or none if the key does not begin with the prefix.
 std::optional<std::string_view> without_prefix(std::string_view key, std::string_view prefix) {
   if (!key.starts_with(prefix)) return std::nullopt;
   key.remove_prefix(prefix.size());
--- a/src/leader/records/read_back.cc
+++ b/src/leader/records/read_back.cc
@@ -10,14 +10,16 @@
 
 namespace {
 
-// Whether the key exists is known.
-bool conclusive(Outcome outcome) { return outcome == Outcome::ok || outcome == Outcome::missing; }
+// Returns true if the outcome of a read shows whether the key exists.
+bool shows_existence(Outcome outcome) {
+  return outcome == Outcome::ok || outcome == Outcome::missing;
+}
 
 }  // namespace
 
 template <typename Read>
-void ReadBack::retry(const std::string& job, Read read) {
-  runtime_.after(retry_, scope_.wrap([this, job, read = std::move(read)] {
+void ReadBack::schedule_retry(const std::string& job, Read read) {
+  runtime_.after(retry_pause_, scope_.wrap([this, job, read = std::move(read)] {
     if (listener_.tracks(job)) read();
   }));
 }
@@ -25,14 +27,14 @@
 void ReadBack::read_final_status_and_records(const std::string& job, std::vector<RecordId> ids) {
   auto on_answer = [this, job, ids = std::move(ids)](const state::GetResult& result) {
     if (!listener_.tracks(job)) return;
-    const auto again = [this, job, ids] { read_final_status_and_records(job, ids); };
-    if (!conclusive(result.outcome)) return retry(job, again);
-    const auto period = scope_.period();
+    const auto read_again = [this, job, ids] { read_final_status_and_records(job, ids); };
+    if (!shows_existence(result.outcome)) return schedule_retry(job, read_again);
+    const auto term = scope_.period();
     if (result.outcome == Outcome::ok &&
         listener_.on_final_status_read(job, result.item) == Listener::Readable::no)
-      return retry(job, again);
-    // Whoever learned of the final status may have ended the term, or the job.
-    if (period.current() && listener_.tracks(job)) read_records(job, ids);
+      return schedule_retry(job, read_again);
+    // The callbacks that ran for the final status may have ended the term or forgotten the job.
+    if (term.current() && listener_.tracks(job)) read_records(job, ids);
   };
   state_.get(final_status_key(job), scope_.wrap(std::move(on_answer)));
 }
@@ -42,8 +44,8 @@
   const RecordId id = ids.back();
   auto on_answer = [this, job, id, ids = std::move(ids)](const state::GetResult& result) {
     if (!listener_.tracks(job)) return;
-    if (!conclusive(result.outcome))
-      return retry(job, [this, job, ids] { read_records(job, ids); });
+    if (!shows_existence(result.outcome))
+      return schedule_retry(job, [this, job, ids] { read_records(job, ids); });
     listener_.on_record_read(job, id, result.outcome == Outcome::ok ? result.item.version : 0);
     read_records(job, {ids.begin(), ids.end() - 1});
   };
--- a/src/leader/records/read_back.h
+++ b/src/leader/records/read_back.h
@@ -1,5 +1,6 @@
-// Reads what the store holds of a job after a transaction whose outcome is not known: the outcome
-// is never assumed. Part of the RecordStore, which goes on from what was read.
+// ReadBack reads the stored records of a job after a transaction whose outcome is unknown, because
+// the outcome of a transaction must never be assumed. It is a part of the RecordStore, which
+// resumes writing from the versions that were read. A read that fails is retried without limit.
 #pragma once
 
 #include <string>
@@ -22,41 +23,45 @@
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    // False: the job was forgotten meanwhile, and the rest of it is not read.
+    // Returns false if the job was forgotten in the meantime. The rest of its records is then not
+    // read.
     [[nodiscard]] virtual bool tracks(const std::string& job) const = 0;
-    // The job has a final status. One that is not readable is read again, until it is.
+    // Called when the job has a stored final status. If the listener returns `no`, the final status
+    // is read again after a pause, until the listener can decode it.
     [[nodiscard]] virtual Readable on_final_status_read(const std::string& job,
                                                         const state::Item& item) = 0;
-    // 0: the record does not exist.
+    // `version` is 0 if the record does not exist.
     virtual void on_record_read(const std::string& job, const RecordId& id,
                                 state::Version version) = 0;
-    // All was read.
+    // Called once every requested record has been read.
     virtual void on_read_back(const std::string& job) = 0;
 
    protected:
     ~Listener() = default;
   };
 
-  // `retry`: ms between two tries of a read that failed.
-  ReadBack(net::Runtime& runtime, state::Client& state, Listener& listener, net::Ms retry)
-      : runtime_(runtime), state_(state), listener_(listener), retry_(retry) {}
+  // `retry_pause` is the time in ms between two attempts of a read that failed.
+  ReadBack(net::Runtime& runtime, state::Client& state, Listener& listener, net::Ms retry_pause)
+      : runtime_(runtime), state_(state), listener_(listener), retry_pause_(retry_pause) {}
 
-  // The final status comes first: what it says decides what becomes of the records.
+  // Reads the final status before the records, because the final status decides whether the records
+  // are still needed.
   void read_final_status_and_records(const std::string& job, std::vector<RecordId> ids);
-  // One record at a time, the last first.
+  // Reads one record at a time, starting with the last id of the list.
   void read_records(const std::string& job, std::vector<RecordId> ids);
-  // A term has ended: nothing is read or said any more.
+  // Ends all reads; the listener is not called again for them. The RecordStore calls this when a
+  // term starts or ends.
   void cancel() { scope_.renew(); }
 
  private:
-  // `read` again after a pause, if the job is still there.
+  // Calls `read` after a pause if the listener still tracks the job then.
   template <typename Read>
-  void retry(const std::string& job, Read read);
+  void schedule_retry(const std::string& job, Read read);
 
   net::Runtime& runtime_;
   state::Client& state_;
   Listener& listener_;
-  net::Ms retry_;
+  net::Ms retry_pause_;
   net::CallbackScope scope_;
 };
 
--- a/src/leader/records/record_layout.h
+++ b/src/leader/records/record_layout.h
@@ -1,9 +1,9 @@
-// How the tasks of a job are divided over its durable records. A record covers a range of tasks
-// that is fixed by its id, so that what changes of one task is written in one place.
+// RecordLayout divides the tasks of a job among the job's durable records. The id of a record
+// determines the range of tasks that it covers, so a change of one task is written to one record.
 //
-// There are two layouts. Every version of the program reads chunks; segments are smaller, and only
-// used once all controllers are known to read them (see cluster_version.h). Plain values: the
-// Controller owns the layout of its term.
+// There are two layouts. Every version of the program reads chunks. Segments are smaller, and the
+// leader writes them only once all controllers are known to read them (see cluster_version.h).
+// These are plain values. The TaskRecordWriter owns the layout of the current term.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,8 @@
 
 namespace seampass::leader {
 
-// In the order in which records of one job are written: what replaces a chunk goes before its end.
+// The values are in the order in which the records of one job are written. Segments come first, so
+// that they are durable before, or together with, the deletion of the chunk that they replace.
 enum class Layout { segments, chunks };
 
 struct RecordId {
@@ -25,7 +26,7 @@
   }
 };
 
-// Tasks from `first` up to, and without, `end`.
+// The tasks from `first` up to, but not including, `end`.
 struct TaskRange {
   std::uint32_t first = 0, end = 0;
 
@@ -33,23 +34,25 @@
   [[nodiscard]] bool contains(std::uint32_t task) const { return first <= task && task < end; }
 };
 
-// Tasks in one record of each layout.
+// The number of tasks in one record of each layout.
 struct RecordSpans {
   std::uint32_t chunk = 0, segment = 0;
 
-  // The spans at which no value outgrows these sizes (KiB).
+  // Returns spans with which no stored value exceeds these sizes, in KiB. A size that is too small
+  // for the minimum number of tasks yields that minimum.
   [[nodiscard]] static RecordSpans for_values(double chunk_kb, double segment_kb) {
-    return {std::max(kLeastChunk, bytes(chunk_kb) / kChunkTaskBytes),
-            std::max(kLeastSegment, (bytes(segment_kb) - kSegmentHeadBytes) / kSegmentTaskBytes)};
+    return {std::max(kMinChunkTasks, bytes(chunk_kb) / kChunkBytesPerTask),
+            std::max(kMinSegmentTasks,
+                     (bytes(segment_kb) - kSegmentFixedBytes) / kSegmentBytesPerTask)};
   }
 
  private:
-  // Bytes that one task may need, and in a segment what does not depend on the tasks.
-  static constexpr std::uint32_t kChunkTaskBytes = 64;
-  static constexpr std::uint32_t kSegmentTaskBytes = 36;
-  static constexpr std::uint32_t kSegmentHeadBytes = 512;
-  static constexpr std::uint32_t kLeastChunk = 16;
-  static constexpr std::uint32_t kLeastSegment = 16;
+  // The bytes that one task may need, and the bytes of a segment that do not depend on its tasks.
+  static constexpr std::uint32_t kChunkBytesPerTask = 64;
+  static constexpr std::uint32_t kSegmentBytesPerTask = 36;
+  static constexpr std::uint32_t kSegmentFixedBytes = 512;
+  static constexpr std::uint32_t kMinChunkTasks = 16;
+  static constexpr std::uint32_t kMinSegmentTasks = 16;
 
   static constexpr double kBytesPerKb = 1024;
 
@@ -69,21 +72,21 @@
     spans_ = spans;
   }
 
-  // The record that a change of this task is written to now.
+  // Returns the record to which a change of this task is written in the current layout.
   [[nodiscard]] RecordId record_of(std::uint32_t task) const {
     return {layout_, task / span(layout_)};
   }
-  // The chunk that holds the task, or held it before segments came into use.
+  // Returns the chunk that covers the task, also when the current layout uses segments.
   [[nodiscard]] RecordId chunk_of(std::uint32_t task) const {
     return {Layout::chunks, task / spans_.chunk};
   }
-  // The tasks of a record, of a job with so many.
-  [[nodiscard]] TaskRange range(const RecordId& id, std::uint32_t tasks) const {
+  // Returns the tasks that a record covers in a job of `job_tasks` tasks.
+  [[nodiscard]] TaskRange range(const RecordId& id, std::uint32_t job_tasks) const {
     const std::uint64_t first = std::uint64_t{id.index} * span(id.layout);
-    const auto bounded = [tasks](std::uint64_t task) {
-      return static_cast<std::uint32_t>(std::min<std::uint64_t>(task, tasks));
+    const auto clamp_to_job = [job_tasks](std::uint64_t task) {
+      return static_cast<std::uint32_t>(std::min<std::uint64_t>(task, job_tasks));
     };
-    return {bounded(first), bounded(first + span(id.layout))};
+    return {clamp_to_job(first), clamp_to_job(first + span(id.layout))};
   }
 
  private:
--- a/src/leader/records/record_store.cc
+++ b/src/leader/records/record_store.cc
@@ -18,9 +18,10 @@
 
 namespace {
 
-constexpr net::Ms kRetry = 200;
-// The same transaction gets the same answer again, unless the layout has changed meanwhile.
-constexpr net::Ms kRetryInvalid = 2000;
+constexpr net::Ms kRetryPause = 200;
+// The pause is longer after the state service has rejected a transaction as invalid. The service
+// rejects the same transaction again, unless the layout has changed in the meantime.
+constexpr net::Ms kInvalidRetryPause = 2000;
 
 }  // namespace
 
@@ -30,7 +31,7 @@
       state_(state),
       limits_(limits),
       callbacks_(std::move(callbacks)),
-      read_back_(runtime, state, *this, kRetry) {}
+      read_back_(runtime, state, *this, kRetryPause) {}
 
 void RecordStore::start_term(std::uint64_t epoch) {
   clear();
@@ -52,44 +53,44 @@
 }
 
 void RecordStore::write(const std::string& job, const RecordId& id, Urgency urgency,
-                        std::function<void()> durable) {
+                        std::function<void()> on_durable) {
   RecordState& record = jobs_[job].records[id];
   record.mark_dirty(urgency);
-  if (durable) record.waiters.push_back(std::move(durable));
+  if (on_durable) record.waiters.push_back(std::move(on_durable));
   withdraw_less_urgent(job, urgency);
   flush(job);
 }
 
 void RecordStore::replace(const std::string& job, const RecordId& old,
-                          const std::vector<RecordId>& with) {
+                          const std::vector<RecordId>& replacements) {
   JobWrites& writes = jobs_[job];
-  RecordState& replaced = writes.records[old];
-  const Urgency urgency = replaced.dirty ? replaced.urgency : Urgency::progress;
-  replaced.dirty = replaced.replaced = true;
-  for (const RecordId& id : with) writes.records[id].mark_dirty(urgency);
+  RecordState& old_record = writes.records[old];
+  const Urgency urgency = old_record.dirty ? old_record.urgency : Urgency::progress;
+  old_record.dirty = old_record.being_replaced = true;
+  for (const RecordId& id : replacements) writes.records[id].mark_dirty(urgency);
   flush(job);
 }
 
 void RecordStore::write_final_status(const std::string& job, state::Version open_version,
                                      wire::Stage stage, std::uint64_t done, Urgency urgency,
-                                     std::function<void(wire::Stage)> durable) {
+                                     std::function<void(wire::Stage)> on_durable) {
   JobWrites& writes = jobs_[job];
   writes.final_status_state = FinalStatusState::pending;
-  writes.final_status = {open_version, stage, done, urgency, std::move(durable)};
+  writes.final_status = {open_version, stage, done, urgency, std::move(on_durable)};
   withdraw_less_urgent(job, urgency);
   flush(job);
 }
 
 const JobWrites& RecordStore::writes_of(const std::string& job) const {
-  static const JobWrites nothing_known;
+  static const JobWrites no_writes;
   const auto entry = jobs_.find(job);
-  return entry == jobs_.end() ? nothing_known : entry->second;
+  return entry == jobs_.end() ? no_writes : entry->second;
 }
 
 std::vector<std::string> RecordStore::jobs_writing(Layout layout) const {
   std::vector<std::string> jobs;
   for (const auto& [job, writes] : jobs_)
-    if (writes.writing(layout)) jobs.push_back(job);
+    if (writes.has_pending_writes(layout)) jobs.push_back(job);
   return jobs;
 }
 
@@ -100,15 +101,15 @@
 
 // ---- Sending ----
 
-// A transaction of the job that still waits for its turn is withdrawn, to go with what is more
-// urgent. Otherwise the urgent write would wait for it, which can be long when the service is at
-// its limits.
+// Withdraws a less urgent transaction of the job that the client still has queued. Its records are
+// then sent together with the more urgent write. Without this, the urgent write would wait for the
+// queued transaction, which can take long while the client is limited by the state service's rate.
 void RecordStore::withdraw_less_urgent(const std::string& job, Urgency urgency) {
   JobWrites& writes = jobs_.at(job);
   Transmission& transmission = writes.transmission;
   if (transmission.phase != Phase::withdrawable || urgency >= transmission.urgency) return;
   if (!state_.withdraw(transmission.ticket)) return;
-  for (const RecordId& id : transmission.records) writes.records[id].mark_unsent();
+  for (const RecordId& id : transmission.records) writes.records[id].mark_unwritten();
   transmission.phase = Phase::idle;
 }
 
@@ -119,26 +120,29 @@
 void RecordStore::flush(const std::string& job) {
   const auto entry = jobs_.find(job);
   if (entry == jobs_.end() || !entry->second.transmission.idle() || !epoch_) return;
-  if (settle_unneeded(job)) return flush(job);
+  if (settle_unneeded_records(job)) return flush(job);
   WriteBatch batch =
       WriteBatchBuilder(job, *epoch_, limits_).build(entry->second, callbacks_.render);
   if (!batch.txn.changes.empty()) send(job, std::move(batch));
 }
 
-// Records that are neither in the store nor wanted need no write. True if somebody waited for one:
-// who waited may have changed everything.
-bool RecordStore::settle_unneeded(const std::string& job) {
+// Clears the dirty mark of records that are not stored and should not exist, because they need no
+// write. A record that is being replaced stays dirty while any other record of the job is dirty,
+// because that record may be one of its replacements. Runs the callbacks that wait for the cleared
+// records. Returns true if there were any, because a callback may have changed the job's writes or
+// ended the job or the term.
+bool RecordStore::settle_unneeded_records(const std::string& job) {
   auto& records = jobs_.at(job).records;
-  const bool replacements_waiting =
-      std::any_of(records.begin(), records.end(),
-                  [](const auto& entry) { return entry.second.dirty && !entry.second.replaced; });
+  const bool replacements_pending = std::any_of(
+      records.begin(), records.end(),
+      [](const auto& entry) { return entry.second.dirty && !entry.second.being_replaced; });
   std::vector<std::function<void()>> waiters;
   for (auto& [id, record] : records) {
     if (!record.dirty || record.version != 0) continue;
     const bool needed =
-        record.replaced ? replacements_waiting : callbacks_.render(job, id).has_value();
+        record.being_replaced ? replacements_pending : callbacks_.render(job, id).has_value();
     if (needed) continue;
-    record.dirty = record.replaced = false;
+    record.dirty = record.being_replaced = false;
     record.move_waiters_to(waiters);
   }
   const auto term = scope_.period();
@@ -149,14 +153,15 @@
 
 void RecordStore::send(const std::string& job, WriteBatch batch) {
   Transmission& transmission = jobs_.at(job).transmission;
-  transmission.phase = Phase::committed;
+  transmission.phase = Phase::not_withdrawable;
   transmission.urgency = batch.urgency;
   transmission.records.clear();
-  for (const auto& [id, present] : batch.records) transmission.records.push_back(id);
+  for (const auto& [id, exists_after] : batch.records) transmission.records.push_back(id);
   state::Txn txn = std::move(batch.txn);
-  // One with a final status is never withdrawn: its outcome is unknown from when it is sent.
+  // A transaction with a final status is never withdrawn, because its outcome counts as unknown
+  // from the time at which it is given to the client.
   const bool withdrawable = !batch.has_final_status;
-  Sent sent{std::move(batch), outcome_unknown_.contains(job)};
+  SentBatch sent{std::move(batch), outcome_unknown_.contains(job)};
   if (!withdrawable) outcome_unknown_.insert(job);
   const auto ticket =
       state_.txn(std::move(txn), transmission.urgency,
@@ -165,36 +170,37 @@
                  }));
   const auto entry = jobs_.find(job);
   if (!withdrawable || entry == jobs_.end()) return;
-  Transmission& waiting = entry->second.transmission;
-  if (waiting.phase != Phase::committed) return;
-  waiting.phase = Phase::withdrawable;
-  waiting.ticket = ticket;
+  Transmission& queued = entry->second.transmission;
+  if (queued.phase != Phase::not_withdrawable) return;
+  queued.phase = Phase::withdrawable;
+  queued.ticket = ticket;
 }
 
 // ---- Outcomes ----
 
-void RecordStore::on_result(const std::string& job, const Sent& sent,
+void RecordStore::on_result(const std::string& job, const SentBatch& sent,
                             const state::TxnResult& result) {
   JobWrites& writes = jobs_.at(job);
-  writes.transmission.phase = Phase::committed;
+  writes.transmission.phase = Phase::not_withdrawable;
   if (result.outcome == Outcome::ok) return on_batch_applied(job, sent.batch, result.revision);
-  for (const auto& [id, present] : sent.batch.records) writes.records[id].mark_unsent();
+  for (const auto& [id, exists_after] : sent.batch.records) writes.records[id].mark_unwritten();
   if (result.outcome == Outcome::refused || result.outcome == Outcome::invalid)
     return on_batch_not_executed(job, sent, result.outcome);
   on_batch_uncertain(job, sent.batch, result);
 }
 
-void RecordStore::on_batch_not_executed(const std::string& job, const Sent& sent, Outcome outcome) {
+void RecordStore::on_batch_not_executed(const std::string& job, const SentBatch& sent,
+                                        Outcome outcome) {
   jobs_.at(job).transmission.phase = Phase::idle;
   if (!sent.outcome_unknown_before) outcome_unknown_.erase(job);
-  if (outcome == Outcome::refused) return schedule_flush(job, kRetry);
-  spdlog::error("the state service takes no record of {} in this form", job);
-  schedule_flush(job, kRetryInvalid);
-  if (sent.batch.outgrown) callbacks_.on_value_too_large();
+  if (outcome == Outcome::refused) return schedule_flush(job, kRetryPause);
+  spdlog::error("the state service rejected a transaction of job {} as invalid", job);
+  schedule_flush(job, kInvalidRetryPause);
+  if (sent.batch.has_oversized_value) callbacks_.on_value_too_large();
 }
 
-// The outcome is not known, or a version is not the one that was expected: what the store holds is
-// read, and writing goes on from that.
+// Called when the outcome is unknown or a version differs from the expected one. Reads back the
+// stored records; writing resumes from the versions that were read.
 void RecordStore::on_batch_uncertain(const std::string& job, const WriteBatch& batch,
                                      const state::TxnResult& result) {
   if (result.outcome == Outcome::conflict && result.failed_on(kLeaderKey))
@@ -213,14 +219,15 @@
   JobWrites& writes = jobs_.at(job);
   writes.transmission.phase = Phase::idle;
   std::vector<std::function<void()>> waiters;
-  for (const auto& [id, present] : batch.records) {
+  for (const auto& [id, exists_after] : batch.records) {
     RecordState& record = writes.records[id];
     record.sending = false;
-    record.version = present ? version : 0;
-    if (present) audit::record_durable(job, id, version);
-    // A waiter that came while this was on its way belongs to the next write.
+    record.version = exists_after ? version : 0;
+    if (exists_after) audit::record_durable(job, id, version);
+    // The record changed again while this transaction was in flight. Its callbacks may wait for the
+    // newer content, so they run after the next write.
     if (record.dirty) continue;
-    record.replaced = false;
+    record.being_replaced = false;
     record.move_waiters_to(waiters);
   }
   std::function<void(wire::Stage)> final_status_waiter;
@@ -228,7 +235,7 @@
   if (batch.has_final_status && writes.final_status_pending()) {
     stage = writes.final_status.stage;
     audit::final_status(job, stage, version);
-    final_status_waiter = set_final_status_durable(job);
+    final_status_waiter = mark_final_status_durable(job);
   }
   const auto term = scope_.period();
   if (final_status_waiter) final_status_waiter(stage);
@@ -237,19 +244,20 @@
   if (term.current()) flush(job);
 }
 
-std::function<void(wire::Stage)> RecordStore::set_final_status_durable(const std::string& job) {
+std::function<void(wire::Stage)> RecordStore::mark_final_status_durable(const std::string& job) {
   JobWrites& writes = jobs_.at(job);
   writes.final_status_state = FinalStatusState::durable;
   outcome_unknown_.erase(job);
-  return std::exchange(writes.final_status, {}).durable;
+  return std::exchange(writes.final_status, {}).on_durable;
 }
 
-// ---- Reading back ----
+// ---- ReadBack::Listener ----
 
 bool RecordStore::tracks(const std::string& job) const { return jobs_.contains(job); }
 
-// The first final status stands, ours or another's. One that can't be read is taken neither for
-// `done`, by which dependents would start, nor for `withdrawn`: the outcome stays unknown.
+// The first final status that was stored is the valid one, whichever controller wrote it. A final
+// status that cannot be decoded counts neither as `done`, which would start the dependent jobs, nor
+// as `withdrawn`. The outcome of the job then stays unknown.
 ReadBack::Listener::Readable RecordStore::on_final_status_read(const std::string& job,
                                                                const state::Item& item) {
   if (jobs_.at(job).final_status_durable()) return Readable::yes;
@@ -257,12 +265,12 @@
   try {
     stage = jobs::decode_final_status(item.value).stage;
   } catch (const wire::Malformed& error) {
-    spdlog::error("unreadable record {}, the outcome of {} stays unknown: {}", item.key, job,
+    spdlog::error("unreadable record {}, so the outcome of job {} stays unknown: {}", item.key, job,
                   error.what());
     outcome_unknown_.insert(job);
     return Readable::no;
   }
-  const std::function<void(wire::Stage)> waiter = set_final_status_durable(job);
+  const std::function<void(wire::Stage)> waiter = mark_final_status_durable(job);
   audit::final_status(job, stage, item.version);
   if (waiter)
     waiter(stage);
@@ -278,7 +286,7 @@
 
 void RecordStore::on_read_back(const std::string& job) {
   jobs_.at(job).transmission.phase = Phase::idle;
-  schedule_flush(job, kRetry);
+  schedule_flush(job, kRetryPause);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/records/record_store.h
+++ b/src/leader/records/record_store.h
@@ -1,11 +1,15 @@
-// The leader's durable writes: task records, work/<job>/<record>, and final statuses, ends/<job>
-// (keys.h). Owns what is known of the records in the state service and what is still to be written;
-// the leader's Controller calls it, on the loop's thread, within a term.
+// RecordStore performs the leader's durable writes: task records under work/<job>/<record> and
+// final statuses under ends/<job> (keys.h). It owns the known versions of the stored records and
+// the writes that are pending. The parts of LeaderTerm call it on the event loop's thread, during a
+// term of leadership.
 //
-// One transaction of a job is on its way at a time, and every one compares the version of each
-// record that it replaces: a late copy of an earlier write can't undo a newer one. Outcomes that
-// are not known are read back, never assumed. What is in one transaction: write_batch.h; what
-// states a job can be in: job_writes.h; how an outcome is read back: read_back.h.
+// Each job has at most one transaction in flight. Every transaction compares the version of each
+// record that it writes or deletes, so a late copy of an earlier write cannot undo a newer one. The
+// store reads back the records of a transaction whose outcome is unknown; it never assumes an
+// outcome.
+//
+// See write_batch.h for the content of one transaction, job_writes.h for the states of a job's
+// writes, and read_back.h for how the store resolves an unknown outcome.
 #pragma once
 
 #include <cstdint>
@@ -32,89 +36,101 @@
  public:
   struct Callbacks {
     RenderRecord render;
-    std::function<void()> on_fenced;  // another leads
-    // A final status that this store did not write was found.
+    std::function<void()> on_fenced;  // another controller has become the leader
+    // Called when the store finds a final status while it has none of its own to write.
     std::function<void(const std::string& job, wire::Stage)> on_final_status_found;
-    // The service's limits are smaller than those that are written for.
+    // Called when the state service rejects a transaction as invalid and the transaction holds a
+    // value above the smallest known limit. The layout of the term is then too large for the
+    // service.
     std::function<void()> on_value_too_large;
   };
 
-  // `limits`: the smallest that are known of, also of those to come.
+  // `limits` are the smallest limits of the state service that are known, including limits that are
+  // announced for later.
   RecordStore(net::Runtime& runtime, state::Client& state, const config::StateLimits& limits,
               Callbacks callbacks);
 
-  // Starts a term; everything of the one before is forgotten, its callbacks included.
+  // Starts a term and discards all state of the previous term, including its callbacks.
   void start_term(std::uint64_t epoch);
   void end_term();
 
-  // A record as found when the term began.
+  // Adds a record that recovery found in the state service at the start of the term.
   void add_existing(const std::string& job, const RecordId& id, state::Version version);
 
-  // The record changed: write it; `durable` runs once what it held by now is in the store.
+  // Writes the record with its current content. `on_durable` runs once the content that the record
+  // has at the time of this call is durable. It also runs if the record is not stored and should
+  // not exist, because nothing needs to be written then.
   void write(const std::string& job, const RecordId& id, state::Urgency urgency,
-             std::function<void()> durable = nullptr);
-  // Has a record deleted that others replace: only once these are durable, or together with the
-  // last of them, so that a leader may end after any transaction without a loss. Who waited for the
-  // old record waits for all of this.
-  void replace(const std::string& job, const RecordId& old, const std::vector<RecordId>& with);
-  // Writes the final status; `durable` gets the one that stands, this or another's.
+             std::function<void()> on_durable = nullptr);
+  // Writes the records `replacements` and deletes the record `old`. The deletion is in the same
+  // transaction as the last replacement or in a later one. A leader that fails after any of these
+  // transactions therefore loses no data. Callbacks that wait for the old record run once the
+  // replacements are durable and the old record is deleted.
+  void replace(const std::string& job, const RecordId& old,
+               const std::vector<RecordId>& replacements);
+  // Writes the final status. `on_durable` receives the final status that is stored in the end,
+  // which is either this one or one that another controller wrote first.
   void write_final_status(const std::string& job, state::Version open_version, wire::Stage stage,
                           std::uint64_t done, state::Urgency urgency,
-                          std::function<void(wire::Stage)> durable);
+                          std::function<void(wire::Stage)> on_durable);
 
-  // A final status of this job may be in the store, or may come to be, and is not known here yet.
+  // Returns true if a final status of this job may be stored, or may still become stored, without
+  // this leader having seen it yet.
   [[nodiscard]] bool outcome_unknown(const std::string& job) const {
     return outcome_unknown_.contains(job);
   }
   [[nodiscard]] bool any_outcome_unknown() const { return !outcome_unknown_.empty(); }
-  // Nothing of this record waits or is on its way.
+  // Returns true if the record has no write queued or in flight.
   [[nodiscard]] bool settled(const std::string& job, const RecordId& id) const {
     return writes_of(job).settled(id);
   }
-  // Nothing of this job is in the store, waits or is on its way.
+  // Returns true if no record of the job is stored, nothing of the job is queued and no transaction
+  // of it is in flight.
   [[nodiscard]] bool settled(const std::string& job) const { return writes_of(job).settled(); }
-  // The records that are or may be in the store.
+  // Returns the records that are stored, may be stored or have a pending write.
   [[nodiscard]] std::vector<RecordId> records(const std::string& job) const {
-    return writes_of(job).existing();
+    return writes_of(job).existing_records();
   }
-  // The first chunk among them that is not being replaced.
+  // Returns the first chunk among these records that is not being replaced.
   [[nodiscard]] std::optional<RecordId> chunk_in_use(const std::string& job) const {
     return writes_of(job).chunk_in_use();
   }
-  // Jobs with a record of this layout that waits to be written, or is on its way.
+  // Returns the jobs that have a write of a record of this layout queued or in flight.
   [[nodiscard]] std::vector<std::string> jobs_writing(Layout layout) const;
+  // Discards all state of the job. The result of a transaction that is still in flight is ignored.
   void forget(const std::string& job);
 
  private:
-  // A transaction on its way.
-  struct Sent {
-    WriteBatch batch;  // without the transaction itself
-    // It was unknown before this was sent whether a final status is in the store: then it stays so
-    // if this is not executed.
+  // The description of a transaction in flight.
+  struct SentBatch {
+    WriteBatch batch;  // its `txn` was moved to the client
+    // The job was in `outcome_unknown_` before this transaction was sent. It then stays there if
+    // the transaction is not executed.
     bool outcome_unknown_before = false;
   };
 
-  // Empty if nothing is known of the job.
+  // Returns the state of the job, or an empty state if the store has none.
   [[nodiscard]] const JobWrites& writes_of(const std::string& job) const;
   void clear();
 
-  // Sending.
+  // Sends transactions.
   void flush(const std::string& job);
   void schedule_flush(const std::string& job, net::Ms pause);
   void withdraw_less_urgent(const std::string& job, state::Urgency urgency);
-  [[nodiscard]] bool settle_unneeded(const std::string& job);
+  [[nodiscard]] bool settle_unneeded_records(const std::string& job);
   void send(const std::string& job, WriteBatch batch);
 
-  // Outcomes.
-  void on_result(const std::string& job, const Sent& sent, const state::TxnResult& result);
+  // Handles the outcomes of transactions.
+  void on_result(const std::string& job, const SentBatch& sent, const state::TxnResult& result);
   void on_batch_applied(const std::string& job, const WriteBatch& batch, state::Version version);
-  void on_batch_not_executed(const std::string& job, const Sent& sent, state::Outcome outcome);
+  void on_batch_not_executed(const std::string& job, const SentBatch& sent, state::Outcome outcome);
   void on_batch_uncertain(const std::string& job, const WriteBatch& batch,
                           const state::TxnResult& result);
-  // The final status is in the store. Whoever waits for that, if anybody.
-  [[nodiscard]] std::function<void(wire::Stage)> set_final_status_durable(const std::string& job);
+  // Marks the final status as durable. Returns the callback that waits for it, or an empty
+  // function.
+  [[nodiscard]] std::function<void(wire::Stage)> mark_final_status_durable(const std::string& job);
 
-  // Reading back.
+  // ReadBack::Listener.
   [[nodiscard]] bool tracks(const std::string& job) const override;
   [[nodiscard]] Readable on_final_status_read(const std::string& job,
                                               const state::Item& item) override;
@@ -125,12 +141,12 @@
   state::Client& state_;
   config::StateLimits limits_;
   Callbacks callbacks_;
-  std::optional<std::uint64_t> epoch_;  // none between terms
+  std::optional<std::uint64_t> epoch_;  // empty between terms
   std::map<std::string, JobWrites> jobs_;
-  // A transaction with the final status is out, or its outcome is not known.
+  // Jobs whose final status is in flight, has an unknown outcome or cannot be decoded.
   std::set<std::string> outcome_unknown_;
   ReadBack read_back_;
-  net::CallbackScope scope_;  // of the term
+  net::CallbackScope scope_;  // drops the callbacks of earlier terms
 };
 
 }  // namespace seampass::leader
--- a/src/leader/records/task_record.cc
+++ b/src/leader/records/task_record.cc
@@ -10,28 +10,29 @@
 
 namespace {
 
-constexpr std::uint32_t kBitsPerDigit = 4;
-constexpr unsigned kDecimalDigits = 10;
-constexpr std::size_t kAssignmentFields = 4;
+constexpr std::uint32_t kBitsPerHexDigit = 4;
+constexpr unsigned kDecimalDigitCount = 10;
+constexpr std::size_t kAssignmentFieldCount = 4;
 
-// The bits as hexadecimal digits, the first bit lowest in its digit; empty if none is set.
+// Encodes the bits as hexadecimal digits. Each digit holds four bits, the first of them as its
+// least significant bit. Returns an empty string if no bit is set.
 std::string hex_from(const std::vector<bool>& bits) {
   static constexpr std::string_view digits = "0123456789abcdef";
   std::string hex;
-  bool any = false;
-  for (std::size_t first = 0; first < bits.size(); first += kBitsPerDigit) {
+  bool any_set = false;
+  for (std::size_t first = 0; first < bits.size(); first += kBitsPerHexDigit) {
     unsigned digit = 0;
-    for (std::size_t bit = 0; bit < kBitsPerDigit && first + bit < bits.size(); ++bit)
+    for (std::size_t bit = 0; bit < kBitsPerHexDigit && first + bit < bits.size(); ++bit)
       if (bits[first + bit]) digit |= 1U << bit;
-    any = any || digit != 0;
+    any_set = any_set || digit != 0;
     hex.push_back(digits[digit]);
   }
-  return any ? hex : std::string();
+  return any_set ? hex : std::string();
 }
 
 unsigned digit_from(char digit) {
   if (digit >= '0' && digit <= '9') return static_cast<unsigned>(digit - '0');
-  if (digit >= 'a' && digit <= 'f') return static_cast<unsigned>(digit - 'a') + kDecimalDigits;
+  if (digit >= 'a' && digit <= 'f') return static_cast<unsigned>(digit - 'a') + kDecimalDigitCount;
   throw Malformed("finished: not hexadecimal");
 }
 
@@ -39,10 +40,10 @@
   std::vector<bool> bits(size, false);
   for (std::size_t i = 0; i < hex.size(); ++i) {
     const unsigned digit = digit_from(hex[i]);
-    for (std::size_t bit = 0; bit < kBitsPerDigit; ++bit) {
+    for (std::size_t bit = 0; bit < kBitsPerHexDigit; ++bit) {
       if ((digit >> bit & 1U) == 0) continue;
-      if (i * kBitsPerDigit + bit >= size) throw Malformed("finished: too long");
-      bits[i * kBitsPerDigit + bit] = true;
+      if (i * kBitsPerHexDigit + bit >= size) throw Malformed("finished: too long");
+      bits[i * kBitsPerHexDigit + bit] = true;
     }
   }
   return bits;
@@ -55,7 +56,7 @@
 }
 
 Assignment assignment_from(const Json& item, std::uint32_t job_tasks) {
-  const bool well_formed = item.is_array() && item.size() == kAssignmentFields &&
+  const bool well_formed = item.is_array() && item.size() == kAssignmentFieldCount &&
                            item[0].is_number_unsigned() && item[1].is_number_unsigned() &&
                            item[2].is_string() && item[3].is_number_unsigned();
   if (!well_formed || item[0].get<std::uint64_t>() >= job_tasks)
@@ -84,7 +85,7 @@
   for (const Assignment& assignment : record.assignments)
     tasks.push_back(
         {assignment.task, assignment.attempt, assignment.machine, assignment.incarnation});
-  // "span" is not read by the versions that know chunks alone.
+  // Versions that support only chunks ignore the field "span".
   Json value{{"attempt", record.last_attempt},
              {"tasks", std::move(tasks)},
              {"team", record.team},
@@ -108,7 +109,7 @@
   record.request = {wire::amount_field(value, "cpus"), wire::amount_field(value, "gpus"),
                     wire::amount_field(value, "memory")};
   record.job_tasks = task_count(value, "of");
-  // Records of versions that know chunks alone have no span.
+  // Versions that support only chunks write records without the field "span".
   record.range = value.contains("span") ? stored_range(value) : layout.range(id, record.job_tasks);
   if (record.range.end > record.job_tasks) throw Malformed("span: out of range");
   record.assignments = assignments_from(value, record.job_tasks);
--- a/src/leader/records/task_record.h
+++ b/src/leader/records/task_record.h
@@ -1,6 +1,6 @@
-// What a durable record, work/<job>/<record>, holds of the tasks in its range, and its form in the
-// state service: the one place that writes and reads it. Both layouts have the same form; they
-// differ in how the range of tasks is found. Pure functions.
+// TaskRecord is the content of a durable record, work/<job>/<record>: the state of the tasks in the
+// record's range. Only this file encodes and decodes its stored form. Both layouts have the same
+// fields; they differ in how the range of tasks is determined. These are pure functions.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace seampass::leader {
 
-// An attempt that is not known to be off its machine.
+// An attempt that is not proven absent from its machine.
 struct Assignment {
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
@@ -24,18 +24,19 @@
 struct TaskRecord {
   RecordId id;
   TaskRange range;
-  std::uint64_t last_attempt = 0;  // the greatest number that an attempt of the job has had
+  std::uint64_t last_attempt = 0;  // the highest attempt number that the job has used
   std::string team;
-  sched::Resources request;     // of each task
-  std::uint32_t job_tasks = 0;  // of the whole job
+  sched::Resources request;     // the resources of each task
+  std::uint32_t job_tasks = 0;  // the number of tasks in the whole job
   std::vector<Assignment> assignments;
-  std::vector<bool> finished;  // by task, from the first of the range
+  std::vector<bool> finished;  // one entry per task of the range, in order
 };
 
 [[nodiscard]] wire::Json encode(const TaskRecord& record);
 
-// Throws wire::Malformed, which names the field; the caller knows the key. `layout` tells the span
-// of a record that does not say it itself, as the chunks that older versions wrote.
+// Throws wire::Malformed if a field cannot be decoded. The error names the field but not the key,
+// which the caller knows. `layout` provides the range of a record without the field `span`: older
+// versions wrote chunks without it.
 [[nodiscard]] TaskRecord decode_task_record(const RecordId& id, const wire::Json& value,
                                             const RecordLayout& layout);
 
--- a/src/leader/records/task_record_writer.cc
+++ b/src/leader/records/task_record_writer.cc
@@ -14,59 +14,62 @@
 TaskRecordWriter::TaskRecordWriter(const JobTable& jobs, RecordStore& records, RecordSpans spans)
     : jobs_(jobs), records_(records), layout_(spans) {}
 
-// What was about to be written as a chunk is written as segments instead; the other chunks follow
-// when something of their job changes.
+// Replaces the chunks of every job that has a write of a chunk pending. The chunks of another job
+// are replaced at the next change of that job.
 void TaskRecordWriter::use_segments(RecordSpans spans) {
   layout_.use(Layout::segments, spans);
-  for (const std::string& id : records_.jobs_writing(Layout::chunks)) replace_chunks(id);
+  for (const std::string& job_id : records_.jobs_writing(Layout::chunks)) replace_chunks(job_id);
 }
 
-// A chunk goes once segments cover all of it. Until then it counts for the tasks that no segment
-// covers (Recovery), so that each transaction on the way leaves records that are complete.
-void TaskRecordWriter::replace_chunks(const std::string& id) {
-  while (const auto chunk = records_.chunk_in_use(id)) {
-    // (Who waited for a record may have ended the job.)
-    const JobRecord* job = jobs_.find(id);
+// Replaces each chunk of the job by the segments that cover its tasks. The chunk is deleted once
+// all of these segments are durable. Until then, Recovery reads the chunk for the tasks that no
+// segment covers, so the stored records are complete after every transaction in between.
+void TaskRecordWriter::replace_chunks(const std::string& job_id) {
+  while (const auto chunk = records_.chunk_in_use(job_id)) {
+    // A callback that ran in the previous pass may have ended the job and removed it.
+    const JobRecord* job = jobs_.find(job_id);
     if (job == nullptr || job->unreadable) return;
     const TaskRange range = layout_.range(*chunk, job->spec.tasks);
     std::vector<RecordId> segments;
     for (std::uint32_t task = range.first; task < range.end;
          task = layout_.range(segments.back(), job->spec.tasks).end)
       segments.push_back(layout_.record_of(task));
-    records_.replace(id, *chunk, segments);
+    records_.replace(job_id, *chunk, segments);
   }
 }
 
-void TaskRecordWriter::record_changed(const std::string& id, std::uint32_t task, Urgency urgency,
-                                      std::function<void()> durable) {
-  if (layout_.layout() == Layout::segments) replace_chunks(id);
-  records_.write(id, layout_.record_of(task), urgency, std::move(durable));
+void TaskRecordWriter::record_changed(const std::string& job_id, std::uint32_t task,
+                                      Urgency urgency, std::function<void()> on_durable) {
+  if (layout_.layout() == Layout::segments) replace_chunks(job_id);
+  records_.write(job_id, layout_.record_of(task), urgency, std::move(on_durable));
 }
 
-bool TaskRecordWriter::record_settled(const std::string& id, std::uint32_t task) const {
-  return records_.settled(id, layout_.record_of(task)) &&
-         records_.settled(id, layout_.chunk_of(task));
+bool TaskRecordWriter::record_settled(const std::string& job_id, std::uint32_t task) const {
+  return records_.settled(job_id, layout_.record_of(task)) &&
+         records_.settled(job_id, layout_.chunk_of(task));
 }
 
-std::optional<Json> TaskRecordWriter::render(const std::string& id, const RecordId& record) const {
-  const JobRecord* job = jobs_.find(id);
+std::optional<Json> TaskRecordWriter::render(const std::string& job_id,
+                                             const RecordId& record_id) const {
+  const JobRecord* job = jobs_.find(job_id);
   if (job == nullptr) return std::nullopt;
-  TaskRecord held;
-  held.id = record;
-  held.range = layout_.range(record, job->spec.tasks);
-  const auto end = job->attempts.lower_bound(held.range.end);
-  for (auto entry = job->attempts.lower_bound(held.range.first); entry != end; ++entry) {
+  TaskRecord record;
+  record.id = record_id;
+  record.range = layout_.range(record_id, job->spec.tasks);
+  const auto end = job->attempts.lower_bound(record.range.end);
+  for (auto entry = job->attempts.lower_bound(record.range.first); entry != end; ++entry) {
     const auto& [task, attempt] = *entry;
-    held.assignments.push_back({task, attempt.number, attempt.machine->name, attempt.incarnation});
+    record.assignments.push_back(
+        {task, attempt.number, attempt.machine->name, attempt.incarnation});
   }
-  if (job->ended() && held.assignments.empty()) return std::nullopt;
-  held.last_attempt = job->last_attempt;
-  held.team = job->spec.team;
-  held.request = sched::request_of(job->spec);
-  held.job_tasks = job->spec.tasks;
-  held.finished.assign(job->finished.begin() + held.range.first,
-                       job->finished.begin() + held.range.end);
-  return encode(held);
+  if (job->ended() && record.assignments.empty()) return std::nullopt;
+  record.last_attempt = job->last_attempt;
+  record.team = job->spec.team;
+  record.request = sched::request_of(job->spec);
+  record.job_tasks = job->spec.tasks;
+  record.finished.assign(job->finished.begin() + record.range.first,
+                         job->finished.begin() + record.range.end);
+  return encode(record);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/records/task_record_writer.h
+++ b/src/leader/records/task_record_writer.h
@@ -1,8 +1,9 @@
-// What the durable records of tasks hold, and when they are written.
+// TaskRecordWriter decides which durable record a task belongs to, renders the record from the
+// JobTable and requests its writes. The RecordStore performs the writes.
 //
-// Owns the layout in which records are written: chunks until all controllers are known to read
-// segments, segments from then on. The RecordStore sends the records; this class says which record
-// a task belongs to and renders it from the JobTable. Used by the leader's loop only.
+// TaskRecordWriter owns the layout in which records are written: chunks until all controllers are
+// known to read segments, and segments from then on. The parts of LeaderTerm call it on the event
+// loop's thread, during a term of leadership.
 #pragma once
 
 #include <cstdint>
@@ -22,26 +23,26 @@
  public:
   TaskRecordWriter(const JobTable& jobs, RecordStore& records, RecordSpans spans);
 
-  // A term begins: records are written as chunks until `use_segments`.
+  // Starts a term. Records are written as chunks until use_segments() is called.
   void start_term(RecordSpans spans) { layout_.use(Layout::chunks, spans); }
-  // All controllers read segments from now on.
+  // Switches to segments. The caller has established that all controllers read them.
   void use_segments(RecordSpans spans);
 
-  // What the record of this task of the job should hold has changed; `durable` runs once it is in
-  // the store.
-  void record_changed(const std::string& id, std::uint32_t task, state::Urgency urgency,
-                      std::function<void()> durable = nullptr);
-  // Nothing of the records that hold this task waits or is on its way.
-  [[nodiscard]] bool record_settled(const std::string& id, std::uint32_t task) const;
-  // The record that a change of this task is written to now.
+  // Requests a write after a change of this task. `on_durable` runs once the task's record is
+  // durable with the content that it has at the time of this call.
+  void record_changed(const std::string& job_id, std::uint32_t task, state::Urgency urgency,
+                      std::function<void()> on_durable = nullptr);
+  // Returns true if no record that covers this task has a write queued or in flight.
+  [[nodiscard]] bool record_settled(const std::string& job_id, std::uint32_t task) const;
+  // Returns the record to which a change of this task is written in the current layout.
   [[nodiscard]] RecordId record_of(std::uint32_t task) const { return layout_.record_of(task); }
-  // What a record should hold now; none: it should not exist.
-  [[nodiscard]] std::optional<wire::Json> render(const std::string& id,
-                                                 const RecordId& record) const;
+  // Returns the content that the record should have now, or none if it should not exist.
+  [[nodiscard]] std::optional<wire::Json> render(const std::string& job_id,
+                                                 const RecordId& record_id) const;
   [[nodiscard]] const RecordLayout& layout() const { return layout_; }
 
  private:
-  void replace_chunks(const std::string& id);
+  void replace_chunks(const std::string& job_id);
 
   const JobTable& jobs_;
   RecordStore& records_;
--- a/src/leader/records/write_batch.cc
+++ b/src/leader/records/write_batch.cc
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxTxnBytes = 56U << 10;  // of the service's 64 KiB
-// Bytes that are reserved for the conditions and the final status, and for each record's key.
+constexpr std::size_t kMaxTxnBytes = 56U << 10;  // below the state service's maximum of 64 KiB
+// The bytes reserved per transaction for its conditions and its final status, and the bytes
+// reserved per record for its key.
 constexpr std::size_t kTxnOverheadBytes = 1024;
 constexpr std::size_t kRecordOverheadBytes = 100;
 constexpr double kBytesPerKb = 1024;
@@ -21,7 +22,7 @@
 WriteBatchBuilder::WriteBatchBuilder(const std::string& job, std::uint64_t epoch,
                                      const config::StateLimits& limits)
     : job_(job), limits_(limits), bytes_(kTxnOverheadBytes) {
-  // A late transaction of a former leader fails here.
+  // This condition makes a late transaction of a former leader fail.
   batch_.txn.conditions.push_back({kLeaderKey, epoch});
 }
 
@@ -29,13 +30,17 @@
   if (writes.final_status_pending()) add_final_status(writes.final_status);
   for (auto& [id, record] : writes.records) {
     if (!record.dirty) continue;
-    // What is replaced comes last, so that what replaces it is durable or in this transaction.
+    // Chunks that are being replaced come after all segments. At this point, every segment that
+    // replaces them is durable or already in this transaction.
     if (all_operations_used()) break;
-    auto value = record.replaced ? std::nullopt : render(job_, id);
-    if (add_record(id, record, std::move(value)) == Added::full) break;
-    // No start is recorded after a cancellation was answered, whoever answered it; and no record
-    // that was cleared with its job comes back by a late copy of its first write (both find
-    // version 0).
+    auto value = record.being_replaced ? std::nullopt : render(job_, id);
+    if (add_record(id, record, std::move(value)) == AddResult::batch_full) break;
+    // A write that could outlive its job requires that the job has no final status. For an
+    // assignment, this ensures that no start is recorded after any controller has answered a
+    // cancellation. For a record that does not exist yet (version 0), it ensures that a late copy
+    // of its first write cannot recreate the record after it was deleted with its job. Comparing
+    // the record's own version does not prevent that: a deleted record has version 0 again, so the
+    // first write and its late copy both find version 0.
     const bool may_outlive_job =
         record.urgency == state::Urgency::assignment || record.version == 0;
     if (may_outlive_job && !writes.final_status_durable()) require_no_final_status();
@@ -55,20 +60,22 @@
   batch_.txn.changes.push_back({open_key(job_), std::nullopt, 0});
 }
 
-WriteBatchBuilder::Added WriteBatchBuilder::add_record(const RecordId& id,
-                                                       const RecordState& record,
-                                                       std::optional<wire::Json> value) {
+WriteBatchBuilder::AddResult WriteBatchBuilder::add_record(const RecordId& id,
+                                                           const RecordState& record,
+                                                           std::optional<wire::Json> value) {
   const std::size_t size = kRecordOverheadBytes + (value ? value->dump().size() : 0);
-  // A record that is too large for any transaction is sent alone, and refused by the service.
-  if (bytes_ + size > kMaxTxnBytes && !batch_.txn.changes.empty()) return Added::full;
+  // A record that is too large for any transaction is sent in a transaction without other changes,
+  // which the state service rejects.
+  if (bytes_ + size > kMaxTxnBytes && !batch_.txn.changes.empty()) return AddResult::batch_full;
   bytes_ += size;
-  batch_.outgrown = batch_.outgrown || static_cast<double>(size) > limits_.value_kb * kBytesPerKb;
+  batch_.has_oversized_value =
+      batch_.has_oversized_value || static_cast<double>(size) > limits_.value_kb * kBytesPerKb;
   const std::string key = work_key(job_, id);
   batch_.txn.conditions.push_back({key, record.version});
   batch_.records.push_back({id, value.has_value()});
   batch_.urgency = std::min(batch_.urgency, record.urgency);
   batch_.txn.changes.push_back({key, std::move(value), 0});
-  return Added::yes;
+  return AddResult::added;
 }
 
 bool WriteBatchBuilder::all_operations_used() const {
--- a/src/leader/records/write_batch.h
+++ b/src/leader/records/write_batch.h
@@ -1,5 +1,6 @@
-// What goes into one compare-and-swap transaction of a job: its conditions, its changes, and when
-// it is full. Called by the RecordStore.
+// WriteBatchBuilder assembles one compare-and-swap transaction of a job: its conditions and its
+// changes, up to the maximum number of operations and the maximum size in bytes. The RecordStore
+// calls it for every transaction and sends the result.
 #pragma once
 
 #include <cstddef>
@@ -15,21 +16,22 @@
 
 namespace seampass::leader {
 
-// What a record should hold now; none: it should not exist.
+// Returns the content that a record should have now, or none if the record should not exist.
 using RenderRecord =
     std::function<std::optional<wire::Json>(const std::string& job, const RecordId& id)>;
 
-// One transaction, and what it changes.
+// One transaction, and a summary of its changes.
 struct WriteBatch {
   struct Record {
     RecordId id;
-    bool present = false;  // has a value after this
+    bool exists_after = false;  // the transaction writes a value; otherwise it deletes the record
   };
 
   state::Txn txn;
-  state::Urgency urgency = state::Urgency::progress;  // the greatest of what it holds
+  state::Urgency urgency = state::Urgency::progress;  // of the most urgent change
   bool has_final_status = false;
-  bool outgrown = false;  // holds a value larger than the smallest limit that is known of
+  // The transaction holds a value above the smallest known limit of the state service.
+  bool has_oversized_value = false;
   std::vector<Record> records;
 };
 
@@ -37,18 +39,20 @@
  public:
   WriteBatchBuilder(const std::string& job, std::uint64_t epoch, const config::StateLimits& limits);
 
-  // Takes the pending final status and the dirty records in the order of their ids, until the
-  // batch is full, and marks them as sending. The batch has no changes if nothing was dirty.
+  // Adds the pending final status, then the dirty records in the order of their ids, until the
+  // batch is full. Marks the added records as `sending` and no longer dirty. The batch has no
+  // changes if there is neither a pending final status nor a dirty record.
   [[nodiscard]] WriteBatch build(JobWrites& writes, const RenderRecord& render);
 
  private:
-  enum class Added { yes, full };
+  enum class AddResult { added, batch_full };
 
   void add_final_status(const PendingFinalStatus& status);
-  [[nodiscard]] Added add_record(const RecordId& id, const RecordState& record,
-                                 std::optional<wire::Json> value);
+  [[nodiscard]] AddResult add_record(const RecordId& id, const RecordState& record,
+                                     std::optional<wire::Json> value);
   [[nodiscard]] bool all_operations_used() const;
-  // The transaction shall fail if the job has a final status.
+  // Adds the condition that the job has no final status, unless the batch already compares that
+  // key.
   void require_no_final_status();
 
   const std::string& job_;
--- a/tests/formats_leader_test.cc
+++ b/tests/formats_leader_test.cc
@@ -1,9 +1,10 @@
-// What a leader keeps in the state service, as literals read from a whole deployment in simulated
-// time: its own record, that of the cluster, and the task records and final statuses of its jobs.
+// Compares with literals what a leader stores in the state service: its own record, the cluster
+// record, and the task records and final statuses of its jobs. The tests run a whole deployment in
+// simulated time.
 //
-// The next leader, perhaps of the previous version, has to read them. So a literal here may not be
-// changed along with the program: one that no longer matches means that stored data, or the
-// previous version, is no longer understood.
+// The next leader must read these records, and it may run the previous version. A literal here must
+// therefore never be changed together with the program. If a literal no longer matches, a
+// controller of this version or of the previous one can no longer read what is stored.
 #include <gtest/gtest.h>
 
 #include "fakes/simulated_cluster.h"
@@ -11,12 +12,12 @@
 namespace seampass::fakes {
 namespace {
 
-// What is stored of a job of two tasks that run on the only machine.
-const char* const kRunning =
+// The task record of a job whose two tasks run on the deployment's only machine.
+const char* const kRunningTaskRecord =
     R"({"attempt":1,"cpus":4.0,"first":0,"gpus":1.0,"memory":16.0,"of":2,"span":2,"tasks":[[0,1,"m-000001",1],[1,1,"m-000001",1]],"team":"blue"})";
 
-// Such a job; `previous`: the controllers that are of the previous version, which reads chunks
-// only.
+// A deployment in which that job runs. `previous` names the controllers that run the previous
+// version, which reads only chunks.
 struct RunningJob {
   explicit RunningJob(const std::set<std::string>& previous = {}) : world(1, 1, {}, previous) {
     EXPECT_TRUE(world.wait_for_leader());
@@ -27,7 +28,7 @@
   SimulatedCluster world;
 };
 
-TEST(Formats, StoresTheLeaderAndTheClusterAsBefore) {
+TEST(Formats, RecordsOfTheLeaderAndTheClusterAreUnchanged) {
   const RunningJob running;
   EXPECT_EQ(running.world.state.dump("leader"),
             R"(leader = {"node":")" + running.world.leader() + "\"}\n");
@@ -35,14 +36,16 @@
             "cluster = {\"chunk_tasks\":128,\"segment_tasks\":213,\"version\":1}\n");
 }
 
-TEST(Formats, StoresTheTasksOfARunningJobAsBefore) {
+TEST(Formats, TaskRecordOfARunningJobIsUnchanged) {
   const RunningJob running;
-  EXPECT_EQ(running.world.state.dump("work/"), std::string("work/wk-8810/s0 = ") + kRunning + "\n");
+  EXPECT_EQ(running.world.state.dump("work/"),
+            std::string("work/wk-8810/s0 = ") + kRunningTaskRecord + "\n");
 }
 
-TEST(Formats, StoresChunksAsBeforeBesideThePreviousVersion) {
+TEST(Formats, WritesChunksWhileThePreviousVersionRuns) {
   const RunningJob running({"n1"});
-  EXPECT_EQ(running.world.state.dump("work/"), std::string("work/wk-8810/0 = ") + kRunning + "\n");
+  EXPECT_EQ(running.world.state.dump("work/"),
+            std::string("work/wk-8810/0 = ") + kRunningTaskRecord + "\n");
   EXPECT_EQ(running.world.state.dump("cluster"), "");
 }
 
@@ -58,7 +61,7 @@
       "\n");
 }
 
-TEST(Formats, StoresTheEndOfACancelledJobAsBefore) {
+TEST(Formats, FinalStatusOfACancelledJobIsUnchanged) {
   RunningJob running;
   ASSERT_EQ(running.world.cancel_until_final("n0", "wk-8810", 60000).stage(), "withdrawn");
   EXPECT_TRUE(running.world.reaches("wk-8810", "withdrawn", 1000));
@@ -66,7 +69,7 @@
             "ends/wk-8810 = {\"done\":0,\"stage\":\"withdrawn\"}\n");
 }
 
-TEST(Formats, StoresTheEndOfAJobThatIsDoneAsBefore) {
+TEST(Formats, FinalStatusOfADoneJobIsUnchanged) {
   RunningJob running;
   ASSERT_TRUE(running.world.reaches("wk-8810", "done", 120000));
   running.world.time.run_for(5000);
--- a/tests/formats_stored_test.cc
+++ b/tests/formats_stored_test.cc
@@ -1,9 +1,11 @@
-// The forms of what is kept in the state service, as literals: keys, open jobs, task records in
-// both layouts, final statuses, and the records of the cluster and of the leader.
+// Compares the stored formats with literals: keys, open jobs, task records in both layouts, final
+// statuses, and the keys of the cluster record and the leader's record.
 //
-// A controller of this version has to read what an earlier one stored, and the other way round
-// while both serve side by side. So a literal here may not be changed along with the program: one
-// that no longer matches means that stored data, or the previous version, is no longer understood.
+// A controller of this version must read what an earlier version has stored. While both versions
+// run side by side, the earlier version must also read what this version stores. A literal here
+// must therefore never be changed together with the program. If a literal no longer matches, this
+// version can no longer read stored data, or the previous version cannot read what this version
+// stores.
 #include <gtest/gtest.h>
 
 #include "jobs/final_status.h"
@@ -23,7 +25,7 @@
 
 constexpr std::int64_t kCreated = 1650000123456;
 
-// One job with every field in use, and one with as few as there may be.
+// A job that uses every field, and a job without any optional field.
 const char* const kFullOpenRecord =
     R"({"created_ms":1650000123456,"job":{"accelerators":2.0,"apart":true,"barrels":["t-large","t-small"],"blend":"image-5","cellar":"zone-3","cpus":6.5,"cuvee_class":"render","due_s":1800.0,"expected_s":75.0,"lent_racks":true,"memory_gb":48.0,"owner_crew":"green","pours":12,"pull_gb":3.25,"rack_every_s":20.0,"rack_s":2.5,"rank":"critical","ref":"wk-8801","shape":"standing","together":true,"waits_on":["wk-8800","wk-8799"]}})";
 const char* const kPlainOpenRecord =
@@ -68,7 +70,7 @@
 
 wire::Job stored_job(const char* record) { return wire::job_from(Json::parse(record).at("job")); }
 
-TEST(Formats, NamesTheKeysOfAJobAsBefore) {
+TEST(Formats, KeysOfAJobAreUnchanged) {
   EXPECT_EQ(leader::open_key("wk-8801"), "open/wk-8801");
   EXPECT_EQ(leader::final_status_key("wk-8801"), "ends/wk-8801");
   EXPECT_EQ(leader::work_key("wk-8801", {Layout::chunks, 7}), "work/wk-8801/7");
@@ -80,12 +82,12 @@
   EXPECT_EQ(leader::record_id_from("s7"), (RecordId{Layout::segments, 7}));
 }
 
-TEST(Formats, NamesTheKeysOfTheClusterAsBefore) {
+TEST(Formats, KeysOfTheClusterAndTheLeaderAreUnchanged) {
   EXPECT_EQ(std::string(leader::kClusterKey), "cluster");
   EXPECT_EQ(std::string(leader::kLeaderKey), "leader");
 }
 
-TEST(Formats, WritesAnOpenJobAsBefore) {
+TEST(Formats, StoredFormOfAnOpenJobIsUnchanged) {
   EXPECT_EQ(leader::encode_open_record(full_job(), kCreated).dump(), kFullOpenRecord);
   EXPECT_EQ(leader::encode_open_record(plain_job(), kCreated).dump(), kPlainOpenRecord);
 }
@@ -113,7 +115,7 @@
   EXPECT_EQ(job.dependencies, (std::vector<std::string>{"wk-8800", "wk-8799"}));
 }
 
-TEST(Formats, ReadsAnOpenJobWithoutWhatMayBeMissing) {
+TEST(Formats, ReadsAnOpenJobWithoutOptionalFields) {
   const wire::Job job = stored_job(kPlainOpenRecord);
 
   EXPECT_EQ(job.kind, wire::JobKind::array);
@@ -125,8 +127,8 @@
   EXPECT_FALSE(job.one_zone || job.spread || job.spot);
 }
 
-// Each flag alone, so that two of them that change places are noticed.
-TEST(Formats, KeepsTheFlagsOfAJobApart) {
+// Sets each flag on its own, so that the test fails if two flags are swapped.
+TEST(Formats, DistinguishesTheFlagsOfAJob) {
   const auto flags_with = [](const char* field) {
     Json record = Json::parse(kPlainOpenRecord).at("job");
     record[field] = true;
@@ -139,7 +141,7 @@
   EXPECT_EQ(flags_with("lent_racks"), (std::vector<bool>{false, false, true}));
 }
 
-TEST(Formats, KeepsTheWordsForKindsAndPriorities) {
+TEST(Formats, StoredNamesOfKindsAndPrioritiesAreUnchanged) {
   const std::vector<std::pair<const char*, wire::JobKind>> kinds{
       {"sweep", wire::JobKind::array},
       {"group", wire::JobKind::gang},
@@ -162,12 +164,13 @@
   }
 }
 
-// Task records. In tasks 20 to 29 of 30, numbers 20, 22 and 28 are finished.
+// Task records. The segment covers tasks 20 to 29 of a job of 30 tasks; tasks 20, 22 and 28 are
+// finished.
 const char* const kSegment =
     R"({"attempt":41,"cpus":6.5,"finished":"501","first":20,"gpus":2.0,"memory":48.0,"of":30,"span":10,"tasks":[[21,40,"m-000051",3],[29,41,"m-000052",1]],"team":"green"})";
 const char* const kChunk =
     R"({"attempt":5,"cpus":1.0,"first":16,"gpus":0.0,"memory":2.0,"of":20,"span":4,"tasks":[],"team":"green"})";
-// As written before a chunk said its span.
+// A chunk as written by versions that did not store the fields `first` and `span`.
 const char* const kChunkWithoutSpan =
     R"({"attempt":9,"cpus":1.0,"finished":"2008","gpus":0.0,"memory":2.0,"of":40,"tasks":[[18,8,"m-000053",2]],"team":"green"})";
 
@@ -188,7 +191,7 @@
   EXPECT_EQ(assignment.incarnation, incarnation);
 }
 
-TEST(Formats, ReadsASegmentAndWritesItAlike) {
+TEST(Formats, ReadsASegmentAndWritesItUnchanged) {
   const TaskRecord record =
       leader::decode_task_record({Layout::segments, 2}, Json::parse(kSegment), kLayout);
 
@@ -207,7 +210,7 @@
   EXPECT_EQ(leader::encode(record).dump(), kSegment);
 }
 
-TEST(Formats, ReadsAChunkAndWritesItAlike) {
+TEST(Formats, ReadsAChunkAndWritesItUnchanged) {
   const TaskRecord record =
       leader::decode_task_record({Layout::chunks, 1}, Json::parse(kChunk), kLayout);
 
@@ -219,8 +222,9 @@
   EXPECT_EQ(leader::encode(record).dump(), kChunk);
 }
 
-// What it lacks is added when it is written again; the rest stays as it was.
-TEST(Formats, ReadsAChunkThatDoesNotSayItsSpan) {
+// This version adds the fields `first` and `span` when it writes the chunk again. All other fields
+// stay unchanged.
+TEST(Formats, ReadsAChunkWithoutSpanAndAddsItWhenWriting) {
   const TaskRecord record =
       leader::decode_task_record({Layout::chunks, 1}, Json::parse(kChunkWithoutSpan), kLayout);
 
@@ -229,13 +233,13 @@
   EXPECT_EQ(finished_tasks(record), (std::vector<std::uint32_t>{17, 31}));
   ASSERT_EQ(record.assignments.size(), 1U);
   expect_assignment(record.assignments[0], 18, 8, "m-000053", 2);
-  Json again = Json::parse(kChunkWithoutSpan);
-  again["first"] = 16;
-  again["span"] = 16;
-  EXPECT_EQ(leader::encode(record).dump(), again.dump());
+  Json expected = Json::parse(kChunkWithoutSpan);
+  expected["first"] = 16;
+  expected["span"] = 16;
+  EXPECT_EQ(leader::encode(record).dump(), expected.dump());
 }
 
-TEST(Formats, ReadsFinalStatusesAndWritesThemAlike) {
+TEST(Formats, ReadsFinalStatusesAndWritesThemUnchanged) {
   const auto expect_status = [](const char* text, wire::Stage stage, std::uint64_t done) {
     const jobs::FinalStatus status = jobs::decode_final_status(Json::parse(text));
     EXPECT_EQ(status.stage, stage) << text;
@@ -246,7 +250,7 @@
   expect_status(R"({"done":3,"stage":"withdrawn"})", wire::Stage::cancelled, 3);
 }
 
-TEST(Formats, RefusesFinalStatusesThatSayNoEnd) {
+TEST(Formats, RejectsFinalStatusesWithoutAFinalStage) {
   for (const char* text :
        {R"({"done":3,"stage":"queued"})", R"({"done":3,"stage":"running"})",
         R"({"done":3,"stage":"cancelled"})", R"({"done":3,"stage":""})", R"({"done":3,"stage":2})",
--- a/tests/task_record_test.cc
+++ b/tests/task_record_test.cc
@@ -1,5 +1,5 @@
-// Task records of both layouts: as this version writes and reads them, and as the version in
-// production does.
+// Tests that this version reads its own task records in both layouts and those of the version in
+// production, and that the version in production reads the chunks of this version.
 #include "leader/records/task_record.h"
 
 #include <gtest/gtest.h>
@@ -19,32 +19,34 @@
 using leader::RecordSpans;
 using leader::TaskRecord;
 
-// How the version in production reads a record: its chunk from the key, finished tasks relative to
-// that, assigned tasks by their own numbers. A slow plain copy of what it does.
+// A simple copy of how the version in production reads a record. It takes the index of the chunk
+// from the key, counts the finished tasks from the first task of that chunk, and reads the assigned
+// tasks by their numbers within the job.
 struct ProductionReader {
   std::uint32_t chunk_tasks = 0;
   std::set<std::uint32_t> finished;
   std::map<std::uint32_t, std::string> assigned;
 
-  void read(const std::string& name, const wire::Json& v) {
+  void read(const std::string& name, const wire::Json& record) {
     const auto chunk = static_cast<std::uint32_t>(std::stoul(name));
-    const std::uint32_t tasks = v.at("of").get<std::uint32_t>();
-    for (const char* field : {"attempt", "cpus", "gpus", "memory"}) v.at(field).get<double>();
-    v.at("team").get<std::string>();
-    const std::string bits = v.value("finished", "");
-    for (std::size_t i = 0; i < bits.size() * 4; ++i) {
-      const char c = bits[i / 4];
+    const std::uint32_t job_tasks = record.at("of").get<std::uint32_t>();
+    for (const char* field : {"attempt", "cpus", "gpus", "memory"}) record.at(field).get<double>();
+    record.at("team").get<std::string>();
+    const std::string hex_digits = record.value("finished", "");
+    for (std::size_t i = 0; i < hex_digits.size() * 4; ++i) {
+      const char c = hex_digits[i / 4];
       const int digit = c <= '9' ? c - '0' : c - 'a' + 10;
       const std::uint32_t task = chunk * chunk_tasks + static_cast<std::uint32_t>(i);
-      if ((digit >> (i % 4) & 1) != 0 && task < tasks) finished.insert(task);
+      if ((digit >> (i % 4) & 1) != 0 && task < job_tasks) finished.insert(task);
     }
-    for (const wire::Json& t : v.at("tasks"))
-      if (t.at(0).get<std::uint32_t>() < tasks)
-        assigned.emplace(t.at(0).get<std::uint32_t>(), t.at(2).get<std::string>());
+    for (const wire::Json& assignment : record.at("tasks"))
+      if (assignment.at(0).get<std::uint32_t>() < job_tasks)
+        assigned.emplace(assignment.at(0).get<std::uint32_t>(),
+                         assignment.at(2).get<std::string>());
   }
 };
 
-TEST(TaskRecord, ProductionReadsTheChunksOfThisVersion) {
+TEST(TaskRecord, ProductionVersionReadsChunksOfThisVersion) {
   RecordLayout layout(RecordSpans::for_values(8, 2));
   for (std::uint32_t index = 0; index < 2; ++index) {
     TaskRecord record;
@@ -64,7 +66,7 @@
   }
 }
 
-TEST(TaskRecord, RecordsComeBackAsTheyWere) {
+TEST(TaskRecord, NamesRoundTripAndMalformedRecordsAreRejected) {
   RecordLayout layout(RecordSpans::for_values(32, 2));
   layout.use(Layout::segments, layout.spans());
   for (const std::uint32_t task : {0U, 41U, 42U, 511U, 512U, 99999U}) {
@@ -73,32 +75,33 @@
     EXPECT_TRUE(layout.range(layout.chunk_of(task), 100000).contains(task));
     EXPECT_EQ(leader::record_id_from(leader::record_name(id)), id);
   }
-  for (const char* bad : {"", "s", "x1", "1x", "s1x", "-1", "99999999999"})
-    EXPECT_FALSE(leader::record_id_from(bad)) << bad;
-  const wire::Json good = wire::Json::parse(
+  for (const char* name : {"", "s", "x1", "1x", "s1x", "-1", "99999999999"})
+    EXPECT_FALSE(leader::record_id_from(name)) << name;
+  const wire::Json valid = wire::Json::parse(
       R"({"attempt":3,"cpus":1.0,"gpus":0.0,"memory":2.0,"team":"t","of":5,"tasks":[[1,2,"m-1",1]]})");
-  EXPECT_EQ(leader::decode_task_record({}, good, layout).assignments.size(), 1u);
-  const auto refuses = [&](const char* field, const wire::Json& value) {
-    wire::Json bad = good;
-    bad[field] = value;
-    EXPECT_THROW(std::ignore = leader::decode_task_record({}, bad, layout), wire::Malformed)
+  EXPECT_EQ(leader::decode_task_record({}, valid, layout).assignments.size(), 1u);
+  const auto expect_malformed = [&](const char* field, const wire::Json& value) {
+    wire::Json malformed = valid;
+    malformed[field] = value;
+    EXPECT_THROW(std::ignore = leader::decode_task_record({}, malformed, layout), wire::Malformed)
         << field;
   };
-  const auto json = [](const char* text) { return wire::Json::parse(text); };
-  refuses("attempt", json("\"3\""));
-  refuses("of", json("1e9"));
-  refuses("of", json("1073741824"));
-  refuses("tasks", json("[[7,2,\"m-1\",1]]"));
-  refuses("tasks", json("[[1,2,\"m-1\"]]"));
-  refuses("tasks", json("3"));
-  refuses("finished", json("\"zz\""));
-  refuses("finished", json("\"00000f\""));
-  refuses("span", json("6"));
+  const auto parsed = [](const char* text) { return wire::Json::parse(text); };
+  expect_malformed("attempt", parsed("\"3\""));
+  expect_malformed("of", parsed("1e9"));
+  expect_malformed("of", parsed("1073741824"));
+  expect_malformed("tasks", parsed("[[7,2,\"m-1\",1]]"));
+  expect_malformed("tasks", parsed("[[1,2,\"m-1\"]]"));
+  expect_malformed("tasks", parsed("3"));
+  expect_malformed("finished", parsed("\"zz\""));
+  expect_malformed("finished", parsed("\"00000f\""));
+  expect_malformed("span", parsed("6"));
   EXPECT_THROW(std::ignore = leader::decode_task_record({}, "text", layout), wire::Malformed);
 }
 
-// A segment fits the smallest value with the longest ordinary names and numbers.
-TEST(TaskRecord, FullSegmentsFitTheSmallestValue) {
+// A full segment with the longest ordinary names and numbers fits into 2 KiB, the smallest maximum
+// value size of a state service, and leaves a sixteenth of it free.
+TEST(TaskRecord, FullSegmentFitsTheSmallestMaximumValueSize) {
   RecordLayout layout(RecordSpans::for_values(32, 2));
   layout.use(Layout::segments, layout.spans());
   TaskRecord record;
@@ -114,7 +117,7 @@
   EXPECT_LE(leader::encode(record).dump().size(), 2048u * 15 / 16);
 }
 
-TEST(TaskRecord, RecordsOfProductionAreRead) {
+TEST(TaskRecord, ReadsRecordsOfTheProductionVersion) {
   const RecordLayout layout(RecordSpans::for_values(8, 2));
   const auto read = [&](const std::string& key) {
     const auto id = leader::record_id_from(key.substr(key.rfind('/') + 1));
