--- a/src/leader/fleet/fleet.cc
+++ b/src/leader/fleet/fleet.cc
@@ -7,7 +7,7 @@
 
 Fleet::Fleet(net::Runtime& runtime, cloud::Client& cloud, const cloud::MachineCatalog& catalog,
              const config::Settings& settings, const config::OperatorSettings& operator_settings,
-             std::function<void(Machine&)> on_gone)
+             std::function<void(Machine&)> on_machine_deleted)
     : runtime_(runtime),
       cloud_(cloud),
       settings_(settings),
@@ -15,7 +15,7 @@
       zones_(runtime, settings, inventory_),
       scale_out_(runtime, cloud, catalog, settings, zones_, inventory_),
       reclaimer_(runtime, cloud, settings, operator_settings, zones_, inventory_,
-                 std::move(on_gone)) {}
+                 std::move(on_machine_deleted)) {}
 
 void Fleet::start_term(std::uint64_t epoch) {
   end_term();
@@ -33,8 +33,8 @@
 }
 
 void Fleet::poll_list(const std::string& after) {
-  cloud_.machines(after, term_.wrap([this](bool good, const wire::MachinePage& page) {
-    if (good) {
+  cloud_.machines(after, term_.wrap([this](bool answered, const wire::MachinePage& page) {
+    if (answered) {
       apply_list(page);
       if (page.more && !page.machines.empty()) return poll_list(page.machines.back().name);
     }
@@ -45,7 +45,7 @@
 
 void Fleet::apply_list(const wire::MachinePage& page) {
   for (const wire::ListedMachine& listed : page.machines) {
-    if (deleted(listed.name)) continue;  // the list is late
+    if (deleted(listed.name)) continue;  // the list is older than the deletion
     Machine& machine = inventory_.register_listed(listed);
     if (listed.stage == wire::MachineStage::failed && !machine.deleting) remove(machine);
   }
--- a/src/leader/fleet/fleet.h
+++ b/src/leader/fleet/fleet.h
@@ -1,7 +1,7 @@
-// The leader's machines, as the rest of the leader sees them: it reads the cloud's list at
-// intervals and wires the parts that know the machines (MachineInventory), judge their zones
-// (ZoneMonitor), rent (ScaleOut) and return them (MachineReclaimer). Used by the leader's loop
-// only.
+// The Fleet is the interface through which the rest of the leader uses its machines. It polls the
+// cloud's list of machines and connects the classes that store the machines (MachineInventory),
+// monitor their zones (ZoneMonitor), rent machines (ScaleOut) and return them (MachineReclaimer).
+// All calls come from the leader's event loop.
 #pragma once
 
 #include <cstdint>
@@ -27,15 +27,16 @@
 
 class Fleet {
  public:
-  // on_gone: the machine, and all that is on it, surely no longer exists.
+  // `on_machine_deleted` is called once it is certain that the machine, and everything on it, no
+  // longer exists.
   Fleet(net::Runtime& runtime, cloud::Client& cloud, const cloud::MachineCatalog& catalog,
         const config::Settings& settings, const config::OperatorSettings& operator_settings,
-        std::function<void(Machine&)> on_gone);
+        std::function<void(Machine&)> on_machine_deleted);
 
   void start_term(std::uint64_t epoch);
   void end_term();
 
-  // What is known: see MachineInventory.
+  // Access to the known machines: see MachineInventory.
   [[nodiscard]] Machine* find(const std::string& name) { return inventory_.find(name); }
   Machine& ensure(const std::string& name) { return inventory_.ensure(name); }
   [[nodiscard]] MachineInventory::Map& machines() { return inventory_.machines(); }
--- a/src/leader/fleet/machine.h
+++ b/src/leader/fleet/machine.h
@@ -1,6 +1,7 @@
-// What the leader knows of one machine: from its rental, the cloud's list and its worker's
-// heartbeats. A plain record, owned by the MachineInventory; the parts of the leader write the
-// fields of which they are in charge, as grouped below.
+// What the leader knows about one machine: from its rental, the cloud's list of machines and the
+// heartbeats of its worker. This is a plain record, owned by the MachineInventory. Other classes of
+// the leader write the fields that they are responsible for. Times are in milliseconds of the
+// steady clock.
 #pragma once
 
 #include <cstddef>
@@ -21,40 +22,55 @@
 struct Machine {
   std::string name, addr, type, zone;
   bool spot = false;
-  bool registered = false;  // has shown this leader's epoch: it lives now, and hears us
+  // Its worker has shown this leader's epoch in this term: the machine is alive and receives this
+  // leader's answers.
+  bool registered = false;
   bool deleting = false;
-  bool draining = false;           // takes nothing new
-  net::Ms rented_at = 0;           // rented, as far as known
-  net::Ms last_heartbeat_at = -1;  // last check-in that this leader may have answered; -1: none
-  std::optional<net::Ms> first_heartbeat_at;  // of this term
-  std::optional<net::Ms> listed_running_at;   // first listed as running in this term
-  // The first command without an answer since the last with one.
+  bool draining = false;  // no new tasks are placed here
+  net::Ms rented_at = 0;  // when it was rented, as far as known
+  // When the last heartbeat arrived that this leader may have answered; -1 if there is none.
+  net::Ms last_heartbeat_at = -1;
+  std::optional<net::Ms> first_heartbeat_at;  // when the first heartbeat of this term arrived
+  // When the cloud first listed the machine as running in this term.
+  std::optional<net::Ms> listed_running_at;
+  // The time of the first unanswered command since the last answered one; empty if the last command
+  // was answered.
   std::optional<net::Ms> unresponsive_since;
+  // From the worker's latest report: its incarnation, its sequence number within that incarnation
+  // and the epoch (fencing token) that it showed.
   std::uint64_t incarnation = 0, sequence = 0, token = 0;
-  // Session and sequence of the latest check-in that showed this leader's epoch, and of the latest
-  // that did not.
+  // Incarnation and sequence number of the latest heartbeat that showed this leader's epoch, and of
+  // the latest heartbeat that did not.
   std::pair<std::uint64_t, std::uint64_t> last_heartbeat, last_unconfirmed_heartbeat;
-  net::Ms last_command_ack_at = -1;  // last command that was, or may have been, executed; -1: none
-  bool inspecting = false;           // an inspection is on its way
-  std::optional<net::Ms> preemption_at;  // spot notice
+  // The last time at which a start was sent, or a command was answered that the worker executed or
+  // may have executed; -1 if there is none.
+  net::Ms last_command_ack_at = -1;
+  bool inspecting = false;  // an inspection request is in flight
+  // When the cloud preempts this spot machine, once the cloud has announced it.
+  std::optional<net::Ms> preemption_at;
   net::Ms idle_since = 0;
   net::Ms quarantined_until = 0;
-  std::set<std::string> failed_jobs;  // since a task was done here
+  // Jobs with a failed task on this machine since a task last completed here.
+  std::set<std::string> failed_jobs;
   std::map<TaskId, TaskAttempt*> attempts;
-  std::string nominated_job;  // a job that room is being cleared for
+  std::string nominated_job;  // the job for which tasks here are being preempted
   net::Ms nominated_until = 0;
-  std::size_t unknown_tasks = 0;  // reported tasks that no attempt accounts for
+  // The number of tasks in the latest report that no attempt of this leader accounts for.
+  std::size_t unknown_tasks = 0;
   std::set<std::string> images;
-  std::set<AttemptId> exited;  // reported as ended and not forgotten yet
-  // Starts sent to /commands in this incarnation: until it changes, each may be executed late, or
-  // once more by a late copy. The worker ignores it for as long as it knows the attempt.
+  // Attempts that the worker's latest report shows as ended; the worker still remembers them.
+  std::set<AttemptId> exited;
+  // Starts that were sent to /commands in this incarnation. Until the incarnation changes, the
+  // worker may still execute each of them late, or a late copy of it may arrive. The worker ignores
+  // a repeated start for as long as it remembers the attempt.
   std::set<AttemptId> replayable_starts;
-  // Its place among the snapshot's machines, and whether it has changed since its view was made.
+  // The machine's slot in the scheduling snapshot, and whether the machine has changed since its
+  // view was built.
   std::size_t slot = kNoSlot;
   bool stale = true;
   static constexpr std::size_t kNoSlot = static_cast<std::size_t>(-1);
 
-  // Whether a start of this task, of whichever attempt, may still come late.
+  // True if a start of this task, from any of its attempts, may still reach the worker late.
   [[nodiscard]] bool may_replay_start(const TaskId& task) const {
     const auto first = replayable_starts.lower_bound({task.job, task.task, 0});
     return first != replayable_starts.end() && first->task_id() == task;
@@ -65,7 +81,7 @@
   }
 };
 
-// An order that does not depend on where machines lie in memory.
+// Orders machines by name, so that the order does not depend on memory addresses.
 struct ByName {
   bool operator()(const Machine* left, const Machine* right) const {
     return left->name < right->name;
--- a/src/leader/fleet/machine_inventory.cc
+++ b/src/leader/fleet/machine_inventory.cc
@@ -7,10 +7,10 @@
 using net::Ms;
 
 namespace {
-// A machine is silent after this share of a lease without a heartbeat, and overdue after so many
-// report intervals.
-constexpr double kSilentShare = 0.6;
-constexpr double kOverdueReports = 1.6;
+// The heartbeat of a machine has timed out if none has arrived for this share of a worker lease. It
+// is overdue if none has arrived for this many heartbeat intervals.
+constexpr double kHeartbeatTimeoutShare = 0.6;
+constexpr double kOverdueIntervals = 1.6;
 }  // namespace
 
 MachineInventory::MachineInventory(net::Runtime& runtime, const cloud::MachineCatalog& catalog,
@@ -38,7 +38,7 @@
 
 Machine& MachineInventory::register_listed(const wire::ListedMachine& listed) {
   const Ms now = runtime_.now();
-  const bool unknown = find(listed.name) == nullptr;
+  const bool is_new = find(listed.name) == nullptr;
   Machine& machine = ensure(listed.name);
   if (machine.type.empty()) {
     machine.addr = listed.addr;
@@ -46,7 +46,7 @@
     machine.zone = listed.zone;
     machine.spot = listed.spot;
   }
-  if (unknown) machine.rented_at = now - net::ms(listed.age_s);
+  if (is_new) machine.rented_at = now - net::ms(listed.age_s);
   if (listed.stage == wire::MachineStage::running && !machine.listed_running_at)
     machine.listed_running_at = now;
   return machine;
@@ -61,16 +61,16 @@
   machine.rented_at = runtime_.now();
 }
 
-Ms MachineInventory::silence(const Machine& machine) const {
-  return runtime_.now() - std::max(machine.last_heartbeat_at, began_);
+Ms MachineInventory::heartbeat_age(const Machine& machine) const {
+  return runtime_.now() - std::max(machine.last_heartbeat_at, term_started_at_);
 }
 
-bool MachineInventory::is_silent(const Machine& machine) const {
-  return silence(machine) > net::ms(kSilentShare * settings_.lease_s);
+bool MachineInventory::heartbeat_timed_out(const Machine& machine) const {
+  return heartbeat_age(machine) > net::ms(kHeartbeatTimeoutShare * settings_.lease_s);
 }
 
 bool MachineInventory::is_overdue(const Machine& machine) const {
-  return silence(machine) > net::ms(kOverdueReports * settings_.heartbeat_interval_s);
+  return heartbeat_age(machine) > net::ms(kOverdueIntervals * settings_.heartbeat_interval_s);
 }
 
 double MachineInventory::boot_s(const Machine& machine) const {
--- a/src/leader/fleet/machine_reclaimer.cc
+++ b/src/leader/fleet/machine_reclaimer.cc
@@ -11,23 +11,24 @@
 using net::Ms;
 
 namespace {
-constexpr std::size_t kMaxDelete = 100;  // names a request, by the protocol
-// A boot that takes this many times its nominal length has failed.
-constexpr double kBootPatience = 3;
+// The maximum number of machine names in one deletion request, a limit of the cloud protocol.
+constexpr std::size_t kMaxNamesPerDeletion = 100;
+// A boot that takes longer than this many times its nominal time has failed.
+constexpr double kBootTimeoutFactor = 3;
 }  // namespace
 
 MachineReclaimer::MachineReclaimer(net::Runtime& runtime, cloud::Client& cloud,
                                    const config::Settings& settings,
                                    const config::OperatorSettings& operator_settings,
                                    ZoneMonitor& zones, MachineInventory& inventory,
-                                   std::function<void(Machine&)> on_gone)
+                                   std::function<void(Machine&)> on_machine_deleted)
     : runtime_(runtime),
       cloud_(cloud),
       settings_(settings),
       operator_settings_(operator_settings),
       zones_(zones),
       inventory_(inventory),
-      on_gone_(std::move(on_gone)) {}
+      on_machine_deleted_(std::move(on_machine_deleted)) {}
 
 void MachineReclaimer::end_term() {
   term_.renew();
@@ -50,12 +51,12 @@
   deletion_in_flight_ = true;
   std::vector<std::string> names;
   for (const std::string& name : to_delete_) {
-    if (names.size() == kMaxDelete) break;
+    if (names.size() == kMaxNamesPerDeletion) break;
     names.push_back(name);
   }
-  cloud_.remove(names, term_.wrap([this, names](bool good) {
+  cloud_.remove(names, term_.wrap([this, names](bool confirmed) {
     deletion_in_flight_ = false;
-    if (good) return on_deleted(names);
+    if (confirmed) return on_deleted(names);
     runtime_.after(net::ms(2 / settings_.cloud_rps), term_.wrap([this] { flush_removals(); }));
   }));
 }
@@ -63,63 +64,72 @@
 void MachineReclaimer::on_deleted(const std::vector<std::string>& names) {
   for (const std::string& name : names) {
     to_delete_.erase(name);
-    inventory_.note_deleted(name);
+    inventory_.mark_deleted(name);
     Machine* machine = inventory_.find(name);
     if (!machine) continue;
-    on_gone_(*machine);
+    on_machine_deleted_(*machine);
     inventory_.erase(name);
   }
   flush_removals();
 }
 
-// A machine that this leader has not heard is booting, gone for good, or up for long and about to
-// find this leader, which takes a worker up to a report's interval and a try at each other node.
+// Returns true if the machine has failed to start. A machine that has not registered with this
+// leader is either booting, or permanently dead, or it has been running for a while and its worker
+// is still searching for this leader. The search takes a worker up to one heartbeat interval plus
+// one attempt at each other node.
 bool MachineReclaimer::failed_to_start(const Machine& machine) const {
   const Ms lease = net::ms(settings_.lease_s);
-  const Ms patience = net::ms(kBootPatience * inventory_.boot_s(machine));
+  const Ms boot_timeout = net::ms(kBootTimeoutFactor * inventory_.boot_s(machine));
   const Ms now = runtime_.now();
-  return now - machine.rented_at > patience &&
-         inventory_.since_began() > (machine.attempts.empty() ? lease : std::max(lease, patience));
+  return now - machine.rented_at > boot_timeout &&
+         inventory_.since_term_start() >
+             (machine.attempts.empty() ? lease : std::max(lease, boot_timeout));
 }
 
-// Deletion is the quickest proof that the tasks of a silent machine are gone. Where several miss
-// their reports at once the network is the likelier cause, this leader's own perhaps, and their
-// work may yet come back within the lease. (Machines become silent one after the other, by when
-// each was heard last: the first of many would look alone if only the silent ones were counted.)
-bool MachineReclaimer::is_lost(const Machine& silent, const ZoneHealth& zone) const {
-  const bool alone = zone.overdue * 3 <= zone.up || zone.overdue == 1;
+// Returns true if a machine whose heartbeat has timed out should be deleted. Deletion is the
+// fastest way to prove that the tasks of such a machine are absent. If the heartbeats of several
+// machines of a zone are overdue at the same time, however, a network failure, perhaps at this
+// leader, is the more likely cause, and the machines may reconnect with their tasks within the
+// lease. Such machines are deleted only after the lease. The check counts overdue machines rather
+// than timed-out ones: heartbeats time out one after another, so the first of many affected
+// machines would look like a single failure.
+bool MachineReclaimer::is_lost(const Machine& machine, const ZoneHealth& zone) const {
+  const bool is_single_failure = zone.overdue * 3 <= zone.registered || zone.overdue == 1;
   const Ms lease = net::ms(settings_.lease_s);
-  return alone || inventory_.silence(silent) > lease + lease / 50;
+  return is_single_failure || inventory_.heartbeat_age(machine) > lease + lease / 50;
 }
 
-// The time for which a machine has been idle is counted while it is not reserved.
-bool MachineReclaimer::is_surplus(Machine& machine, Use use) {
+// Returns true if the machine is idle and no longer needed. The idle time restarts while the
+// machine is in use or reserved.
+bool MachineReclaimer::is_surplus(Machine& machine, Availability availability) {
   const Ms now = runtime_.now();
-  if (!machine.attempts.empty() || machine.unknown_tasks != 0 || use == Use::reserved) {
+  if (!machine.attempts.empty() || machine.unknown_tasks != 0 ||
+      availability == Availability::reserved) {
     machine.idle_since = now;
     return false;
   }
-  const Ms patience = net::ms(operator_settings_.idle_return * inventory_.boot_s(machine));
-  return machine.draining || machine.preemption_at || now - machine.idle_since > patience;
+  const Ms idle_timeout = net::ms(operator_settings_.idle_return * inventory_.boot_s(machine));
+  return machine.draining || machine.preemption_at || now - machine.idle_since > idle_timeout;
 }
 
 bool MachineReclaimer::is_unwanted(Machine& machine, const std::map<std::string, ZoneHealth>& zones,
                                    const std::set<std::string>& reserved) {
   if (!machine.registered) return failed_to_start(machine);
-  if (inventory_.is_silent(machine)) {
+  if (inventory_.heartbeat_timed_out(machine)) {
     const auto zone = zones.find(machine.zone);
     return is_lost(machine, zone == zones.end() ? ZoneHealth{} : zone->second);
   }
-  return is_surplus(machine, reserved.contains(machine.name) ? Use::reserved : Use::free);
+  return is_surplus(machine,
+                    reserved.contains(machine.name) ? Availability::reserved : Availability::free);
 }
 
 void MachineReclaimer::reclaim_unwanted(const std::set<std::string>& reserved) {
   const auto zones = zones_.measure();
-  zones_.update_cut_zones(zones);
+  zones_.update_unreachable_zones(zones);
   for (auto& [name, machine] : inventory_.machines()) {
     if (machine.deleting || !is_unwanted(machine, zones, reserved)) continue;
-    spdlog::debug("returning {} ({}, up {}, {} tasks)", machine.name, machine.type,
-                  machine.registered, machine.attempts.size());
+    spdlog::debug("returning machine {} to the cloud (type {}, registered {}, {} tasks)",
+                  machine.name, machine.type, machine.registered, machine.attempts.size());
     mark_for_removal(machine);
   }
   flush_removals();
--- a/src/leader/fleet/scale_out.cc
+++ b/src/leader/fleet/scale_out.cc
@@ -9,7 +9,8 @@
 using net::Ms;
 
 namespace {
-constexpr int kMaxRent = 50;
+// The maximum number of machines that one rental may request.
+constexpr int kMaxMachinesPerRental = 50;
 }  // namespace
 
 ScaleOut::ScaleOut(net::Runtime& runtime, cloud::Client& cloud,
@@ -33,7 +34,7 @@
   const Ms now = runtime_.now();
   for (const auto& [name, type] : catalog_.types())
     for (const std::string& zone : type.zones) {
-      if (zones_.is_cut(zone)) continue;
+      if (zones_.is_unreachable(zone)) continue;
       for (const bool spot : {true, false}) {
         const auto refused = refused_until_.find({name, zone, spot});
         if (refused != refused_until_.end() && now < refused->second) continue;
@@ -48,12 +49,13 @@
 }
 
 void ScaleOut::rent(const sched::ScaleOutOption& option, int count) {
-  // The epoch and the counter make a name that is never used again.
+  // The epoch and the counter make the request name unique; it is never used again.
   const std::string request = "r" + std::to_string(epoch_) + "-" + std::to_string(++counter_);
   const wire::Rental rental{request, option.type, option.zone, option.spot,
-                            std::min(count, kMaxRent)};
+                            std::min(count, kMaxMachinesPerRental)};
   pending_[request] = {option.type, option.zone, option.spot, rental.count};
-  spdlog::debug("renting {} {} in {} spot {}", rental.count, rental.type, rental.zone, rental.spot);
+  spdlog::debug("renting {} machines of type {} in zone {}, spot {}", rental.count, rental.type,
+                rental.zone, rental.spot);
   cloud_.rent(rental, term_.wrap([this, request, rental](cloud::Rented result,
                                                          const std::vector<std::string>& names) {
     pending_.erase(request);
@@ -65,7 +67,8 @@
                          const std::vector<std::string>& names) {
   for (const std::string& name : names)
     if (!inventory_.deleted(name)) inventory_.register_rented(name, rental);
-  // No answer: whatever was rented shows in the list, and is used or returned.
+  // If the rental got no answer, the cloud may still have rented machines. They appear in the
+  // cloud's list and are then used, or returned as idle.
   if (result != cloud::Rented::ok || static_cast<int>(names.size()) < rental.count)
     refused_until_[{rental.type, rental.zone, rental.spot}] =
         runtime_.now() + net::ms(std::max(4 * settings_.list_lag_s, 4 / settings_.cloud_rps));
--- a/src/leader/fleet/scale_out.h
+++ b/src/leader/fleet/scale_out.h
@@ -1,5 +1,6 @@
-// Rents machines. Owns the rentals that have no answer yet, and which offers the cloud refused a
-// short while ago. Used by the leader's loop only; answers of an earlier term are dropped.
+// ScaleOut rents machines from the cloud. It owns the rentals that have no answer yet and the
+// options that the cloud recently refused. All calls come from the leader's event loop. Answers to
+// requests of an earlier term are ignored.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
 
 namespace seampass::leader {
 
-// A rental that is asked for and not answered yet.
+// A rental that has been requested from the cloud and has no answer yet.
 struct PendingScaleOut {
   std::string type, zone;
   bool spot = false;
@@ -34,12 +35,13 @@
   void start_term(std::uint64_t epoch) { epoch_ = epoch; }
   void end_term();
 
-  // What may be rented now, in the order of the catalog: neither in a zone that looks cut off nor
-  // where the cloud had too little a short while ago.
+  // The options that may be rented now, in the order of the catalog. It leaves out zones that look
+  // unreachable, and options for which a recent rental got no answer or fewer machines than
+  // requested.
   [[nodiscard]] std::vector<sched::ScaleOutOption> options() const;
-  // `count` machines of this kind, or as many as one request may ask for.
+  // Rents `count` machines of this option, but at most as many as one rental may request.
   void rent(const sched::ScaleOutOption& option, int count);
-  // By the rental's name.
+  // The rentals without an answer, by request name.
   [[nodiscard]] const std::map<std::string, PendingScaleOut>& pending() const { return pending_; }
 
  private:
--- a/src/leader/fleet/zone_monitor.h
+++ b/src/leader/fleet/zone_monitor.h
@@ -1,6 +1,8 @@
-// Which zones look cut off from this leader: it neither rents there, where a machine could not be
-// heard, nor takes the silence of many machines at once for their end. Owns, for each zone, until
-// when it counts as cut off.
+// The ZoneMonitor detects zones that look unreachable from this leader. The leader rents no
+// machines in such a zone, because their heartbeats could not reach this leader. The
+// MachineReclaimer also uses the counts per zone: when many machines of a zone stop reporting at
+// the same time, it does not assume that they have failed. The class owns, for each zone, until
+// when the zone counts as unreachable. Times are in milliseconds of the steady clock.
 #pragma once
 
 #include <map>
@@ -13,10 +15,12 @@
 namespace seampass::leader {
 
 struct ZoneHealth {
-  int up = 0;       // machines that this leader has heard
-  int overdue = 0;  // of them: a report has not come
-  int silent = 0;   // of them: none for most of a lease
-  int unheard = 0;  // up by the list, for long enough to have reported
+  int registered = 0;  // machines that have registered with this leader
+  int overdue = 0;     // registered machines whose heartbeat is overdue
+  int timed_out = 0;   // registered machines whose heartbeat has timed out
+  // Machines that have not registered although the cloud has listed them as running for long enough
+  // to do so.
+  int unregistered = 0;
 };
 
 class ZoneMonitor {
@@ -25,18 +29,19 @@
               const MachineInventory& inventory)
       : runtime_(runtime), settings_(settings), inventory_(inventory) {}
 
-  void end_term() { cut_until_.clear(); }
+  void end_term() { unreachable_until_.clear(); }
 
-  // By zone; a zone without machines is not named.
+  // Counts the machines of each zone. The result has no entry for a zone without machines.
   [[nodiscard]] std::map<std::string, ZoneHealth> measure() const;
-  void update_cut_zones(const std::map<std::string, ZoneHealth>& zones);
-  [[nodiscard]] bool is_cut(const std::string& zone) const;
+  // Updates which zones count as unreachable, from the result of measure().
+  void update_unreachable_zones(const std::map<std::string, ZoneHealth>& zones);
+  [[nodiscard]] bool is_unreachable(const std::string& zone) const;
 
  private:
   net::Runtime& runtime_;
   const config::Settings& settings_;
   const MachineInventory& inventory_;
-  std::map<std::string, net::Ms> cut_until_;
+  std::map<std::string, net::Ms> unreachable_until_;
 };
 
 }  // namespace seampass::leader
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -1,5 +1,6 @@
-// The parts of scheduling and of the fleet that carry rules of their own, beside plain
-// expectations.
+// Unit tests of the HeadroomEstimator, the MachineReclaimer with the ZoneMonitor, and the
+// SnapshotBuilder. The expected values are literals or are computed in the test by a simpler
+// algorithm.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -13,7 +14,8 @@
 namespace seampass::leader {
 namespace {
 
-// Answers the catalog and every deletion at once; lists no machines.
+// Answers every request at once: a request for the catalog with one machine type, a deletion (which
+// it records) and every other request with an empty object, which lists no machines.
 class CloudFake : public net::HttpCaller {
  public:
   void call(net::Call call, net::ReplyFn done) override {
@@ -52,16 +54,16 @@
     dependencies.add(id, job.spec.priority, {});
     return jobs.add(std::move(job));
   }
-  // Up, and heard so long ago.
+  // Adds a registered machine whose last heartbeat arrived at `heartbeat_at`.
   static Machine& add_machine(MachineInventory::Map& machines, const std::string& name,
-                              net::Ms heard_at) {
+                              net::Ms heartbeat_at) {
     Machine& machine = machines[name];
     machine.name = name;
     machine.type = "small";
     machine.zone = "a";
     machine.registered = true;
-    machine.rented_at = machine.idle_since = heard_at;
-    machine.note_heartbeat(heard_at);
+    machine.rented_at = machine.idle_since = heartbeat_at;
+    machine.note_heartbeat(heartbeat_at);
     return machine;
   }
 
@@ -78,17 +80,18 @@
                             catalog, settings, operator_settings};
 };
 
-TEST_F(SchedulingTest, HeadroomIsWhatArrivesWhileAMachineBootsAndItsSpread) {
+TEST_F(SchedulingTest, HeadroomEqualsExpectedArrivalsDuringBootPlusStandardDeviation) {
   std::mt19937 random(3);
   HeadroomEstimator estimator(sources);
-  std::vector<std::pair<net::Ms, std::uint32_t>> arrivals;  // all of them, looked through each time
+  std::vector<std::pair<net::Ms, std::uint32_t>> arrivals;  // all arrivals, searched in every round
   for (int round = 0; round < 200; ++round) {
     time.run_for(1 + static_cast<net::Ms>(random() % 20'000));
     const std::uint32_t tasks = 1 + random() % 9;
     estimator.record_arrival(add_job("j" + std::to_string(round), tasks));
     arrivals.emplace_back(time.now(), tasks);
 
-    // Six boots of forty seconds, or less near the beginning.
+    // The window covers six boot times of 40 s, or the time since the first arrival if that is
+    // shorter.
     const net::Ms window = std::min<net::Ms>(240'000, time.now() - arrivals.front().first);
     double sum = 0;
     double squares = 0;
@@ -108,36 +111,39 @@
   EXPECT_TRUE(estimator.estimate({}).empty());
 }
 
-TEST_F(SchedulingTest, SilentMachinesAreReturnedOneByOneButManyOnlyAfterTheLease) {
-  // Of four machines that are up, so many are silent: whether those are returned, before and after
-  // the lease.
+TEST_F(SchedulingTest, SingleTimedOutMachineIsReturnedAtOnceButSeveralOnlyAfterTheLease) {
+  // A zone has four registered machines. Each case gives the number of machines whose heartbeats
+  // have timed out, and whether they are returned before and after their lease has expired. A
+  // single machine is returned at once. Several machines with overdue heartbeats suggest a network
+  // failure, so they are returned only after the lease.
   const std::vector<std::tuple<int, bool, bool>> cases = {
       {1, true, true}, {2, false, true}, {3, false, true}, {4, false, true}};
-  for (const auto& [silent, returned_early, returned_late] : cases) {
-    for (const bool late : {false, true}) {
-      SCOPED_TRACE(std::to_string(silent) + (late ? " silent, late" : " silent, early"));
+  for (const auto& [timed_out_count, returned_before_lease, returned_after_lease] : cases) {
+    for (const bool after_lease : {false, true}) {
+      SCOPED_TRACE(std::to_string(timed_out_count) +
+                   (after_lease ? " timed out, after the lease" : " timed out, before the lease"));
       MachineInventory inventory(time, catalog, settings);
       ZoneMonitor zones(time, settings, inventory);
-      std::size_t gone = 0;
+      std::size_t deleted_count = 0;
       MachineReclaimer reclaimer(time, cloud, settings, operator_settings, zones, inventory,
-                                 [&](Machine& /*machine*/) { ++gone; });
-      const net::Ms silent_since = time.now() - (late ? 21'000 : 13'000);
+                                 [&](Machine& /*machine*/) { ++deleted_count; });
+      const net::Ms last_heartbeat_at = time.now() - (after_lease ? 21'000 : 13'000);
       for (int i = 0; i < 4; ++i)
         add_machine(inventory.machines(), "m" + std::to_string(i),
-                    i < silent ? silent_since : time.now());
+                    i < timed_out_count ? last_heartbeat_at : time.now());
 
       reclaimer.reclaim_unwanted({});
 
-      const bool returned = late ? returned_late : returned_early;
-      EXPECT_EQ(gone, returned ? static_cast<std::size_t>(silent) : 0U);
-      EXPECT_EQ(inventory.machines().size(), 4 - gone);
+      const bool returned = after_lease ? returned_after_lease : returned_before_lease;
+      EXPECT_EQ(deleted_count, returned ? static_cast<std::size_t>(timed_out_count) : 0U);
+      EXPECT_EQ(inventory.machines().size(), 4 - deleted_count);
       EXPECT_EQ(inventory.deleted("m0"), returned);
-      EXPECT_EQ(zones.is_cut("a"), silent == 4);
+      EXPECT_EQ(zones.is_unreachable("a"), timed_out_count == 4);
     }
   }
 }
 
-TEST_F(SchedulingTest, SnapshotIsInTheOrderOfNamesAndReusesThePlacesOfMachinesThatAreGone) {
+TEST_F(SchedulingTest, SnapshotOrdersMachinesByNameAndReusesSlotsOfDeletedMachines) {
   Fleet fleet(time, cloud, catalog, settings, operator_settings, [](Machine& /*machine*/) {});
   SnapshotBuilder builder(sources, fleet);
   for (const std::string name : {"m2", "m0", "m1"}) add_machine(fleet.machines(), name, time.now());
