--- a/src/leader/scheduling/autoscaler.cc
+++ b/src/leader/scheduling/autoscaler.cc
@@ -11,10 +11,12 @@
 
 namespace {
 
-// A task is moved only if it has this many times longer to run than its stop and start take; one in
-// so many machines is emptied at a time.
+// Consolidation moves a task only if its remaining run time is more than this many times the time
+// that stopping and restarting it takes.
 constexpr double kConsolidationGain = 3;
-constexpr std::size_t kConsolidationShare = 50;
+// One round of consolidation drains at most one machine, plus one more for every
+// kMachinesPerConsolidation machines in the fleet.
+constexpr std::size_t kMachinesPerConsolidation = 50;
 
 double run_s(const TaskAttempt& attempt, Ms now) {
   return static_cast<double>(now - attempt.running_since) / 1000;
@@ -25,18 +27,22 @@
 void Autoscaler::scale(sched::ClusterSnapshot& snapshot, Ms now) {
   if (now - last_scaled_at_ < net::ms(sources_.settings.heartbeat_interval_s / 3)) return;
   last_scaled_at_ = now;
-  const Ms began = sources_.runtime.now();
+  const Ms started_at = sources_.runtime.now();
   update_releases(snapshot);
   scale_out(snapshot);
-  // (Where jobs wait now and then, the next would wait for the machine that was just returned.)
+  // Machines are drained only after no job has lacked a place for the longest boot time. Without
+  // this delay, a cluster in which jobs occasionally have to wait would return a machine just
+  // before the next job needs it.
   if (std::any_of(snapshot.jobs.begin(), snapshot.jobs.end(),
                   [](const sched::JobView& view) { return !view.pending.empty(); }))
-    last_unplaced_at_ = began;
-  if (began - last_unplaced_at_ > net::ms(longest_boot_s(sources_.catalog))) consolidate(snapshot);
+    last_unplaced_at_ = started_at;
+  if (started_at - last_unplaced_at_ > net::ms(longest_boot_s(sources_.catalog)))
+    consolidate(snapshot);
 }
 
-// When which room comes free, by the owners' estimates. They are often wrong: what has outlived its
-// estimate may take some more.
+// Records for every machine when its running tasks are expected to end and which resources they
+// then free. The times come from the owners' run-time estimates, which are often wrong, so every
+// task is assumed to run for at least another quarter of its estimate.
 void Autoscaler::update_releases(sched::ClusterSnapshot& snapshot) const {
   const Ms now = sources_.runtime.now();
   for (const auto& [name, machine] : fleet_.machines()) {
@@ -64,7 +70,7 @@
     fleet_.rent(options[request.option], request.count);
 }
 
-void Autoscaler::update_time_left(sched::ClusterSnapshot& snapshot) {
+void Autoscaler::update_remaining_time(sched::ClusterSnapshot& snapshot) {
   const Ms now = sources_.runtime.now();
   for (sched::MachineView& machine : snapshot.machines) {
     for (sched::PreemptibleTask& victim : machine.preemptible_tasks) {
@@ -75,16 +81,17 @@
 }
 
 void Autoscaler::consolidate(sched::ClusterSnapshot& snapshot) {
-  update_time_left(snapshot);
+  update_remaining_time(snapshot);
   const double restart_s = sources_.settings.heartbeat_interval_s / 3;
-  const std::size_t most = 1 + fleet_.machines().size() / kConsolidationShare;
+  const std::size_t max_machines = 1 + fleet_.machines().size() / kMachinesPerConsolidation;
   std::vector<TaskAttempt*> stops;
   for (const std::size_t index :
-       sched::consolidation_candidates(snapshot, restart_s, kConsolidationGain, most)) {
+       sched::consolidation_candidates(snapshot, restart_s, kConsolidationGain, max_machines)) {
     Machine* machine = fleet_.find(snapshot.machines[index].name);
     if (!machine || headroom_machines_.contains(machine->name)) continue;
     machine->draining = true;
-    spdlog::debug("emptying {} of {} tasks", machine->name, machine->attempts.size());
+    spdlog::debug("draining {}, which runs {} tasks, for consolidation", machine->name,
+                  machine->attempts.size());
     for (const auto& [task, attempt] : machine->attempts) {
       actions_.stop_to_checkpoint(*attempt, audit::StopReason::machine_leaving);
       stops.push_back(attempt);
--- a/src/leader/scheduling/autoscaler.h
+++ b/src/leader/scheduling/autoscaler.h
@@ -1,6 +1,8 @@
-// Fits the machines to the work that a pass has left: rents for what waits and for headroom, and
-// moves the few tasks of a machine together with others while nothing waits, so that the machine
-// can be returned. Owns the pace of this, and which machines are wanted as headroom.
+// The Autoscaler adapts the number of machines to the work that a scheduling pass leaves. It scales
+// out for tasks that found no place and for headroom. While no job waits, it consolidates: it
+// drains machines that run few tasks, so that they can be returned to the cloud. The SchedulingLoop
+// calls it after every pass. The class owns the scaling interval and the set of machines that serve
+// as headroom. Times are in milliseconds of the steady clock.
 #pragma once
 
 #include <set>
@@ -21,13 +23,15 @@
              TaskActions& actions)
       : sources_(sources), fleet_(fleet), headroom_(headroom), actions_(actions) {}
 
-  void start_term(net::Ms began) { last_unplaced_at_ = began; }
+  void start_term(net::Ms started_at) { last_unplaced_at_ = started_at; }
   void end_term() { headroom_machines_.clear(); }
 
-  // `snapshot`: as a pass has left it. `now`: when that was. Does nothing shortly after the last
-  // time: what is asked of the cloud takes far longer than the pause.
+  // Scales out and consolidates. `snapshot` is the snapshot as the pass left it, and `now` is the
+  // time at which the pass decided. The call does nothing if the last scaling was less than a third
+  // of a heartbeat interval ago: the cloud takes far longer than that to act on a request.
   void scale(sched::ClusterSnapshot& snapshot, net::Ms now);
-  // Names of the machines that are kept although they are idle.
+  // The names of the machines that serve as headroom. The caller does not return them to the cloud,
+  // although they are idle.
   [[nodiscard]] const std::set<std::string>& headroom_machines() const {
     return headroom_machines_;
   }
@@ -36,14 +40,14 @@
   void update_releases(sched::ClusterSnapshot& snapshot) const;
   void scale_out(const sched::ClusterSnapshot& snapshot);
   void consolidate(sched::ClusterSnapshot& snapshot);
-  void update_time_left(sched::ClusterSnapshot& snapshot);
+  void update_remaining_time(sched::ClusterSnapshot& snapshot);
 
   const SchedulingSources& sources_;
   Fleet& fleet_;
   const HeadroomEstimator& headroom_;
   TaskActions& actions_;
   net::Ms last_scaled_at_ = 0;
-  net::Ms last_unplaced_at_ = 0;  // when a job last found no place
+  net::Ms last_unplaced_at_ = 0;  // when a pass last left a task without a place
   std::set<std::string> headroom_machines_;
 };
 
--- a/src/leader/scheduling/headroom_estimator.cc
+++ b/src/leader/scheduling/headroom_estimator.cc
@@ -10,13 +10,15 @@
 
 namespace {
 
-// Arrivals of a class that are remembered.
+// The maximum number of arrivals that the estimator stores for one job class.
 constexpr std::size_t kMaxArrivals = 500;
-// Arrivals are counted over this many boot times.
+// The estimator counts arrivals over a window of this many boot times.
 constexpr double kArrivalWindow = 6;
-// Of the tasks that should end while a machine boots, this share is counted on: estimates err.
-constexpr double kEndsCounted = 0.5;
-// A spare is kept on no type that costs more than this many times the cheapest that would do.
+// Of the tasks that are due to end while a machine boots, the estimator counts on only this share,
+// because run-time estimates are inaccurate.
+constexpr double kCountedEndShare = 0.5;
+// Headroom never uses a machine type that costs more than this many times the cheapest type that
+// fits the class.
 constexpr double kMaxHeadroomPrice = 3;
 
 double hourly_price(const sched::ClusterSnapshot& snapshot) {
@@ -26,7 +28,8 @@
   return price;
 }
 
-// A job of low priority, so that room is kept for it only where nothing else wants it.
+// Returns a stand-in for the jobs that are expected to arrive. Its priority is low, so that
+// headroom never takes capacity that a real job needs.
 sched::JobView expected_job(const wire::Job& spec, std::uint32_t tasks) {
   sched::JobView view;
   view.kind = wire::JobKind::array;
@@ -55,7 +58,8 @@
   for (auto& [job_class, arrivals] : arrivals_) arrivals.recent.clear();
 }
 
-// Jobs recovered together came at their own times.
+// The arrival time is the time at which the job became ready, not the time of this call: after a
+// failover, recovery reports many jobs at once that arrived at different times.
 void HeadroomEstimator::record_arrival(const JobRecord& job) {
   const auto arrivals = arrivals_.find(job.spec.job_class);
   if (arrivals == arrivals_.end()) return;
@@ -87,13 +91,15 @@
     for (const auto& [task, attempt] : job->attempts)
       if (attempt.running_since != 0 &&
           now - attempt.running_since > net::ms(job->spec.estimate_s - boot_s))
-        ends += kEndsCounted;
+        ends += kCountedEndShare;
   }
   return ends;
 }
 
-// Tasks of a job come together, so that their number spreads by the square of a job's size.
-// Meanwhile tasks of the class end as well, and leave their room.
+// The tasks of one job arrive at the same moment, so the variance of the number of arriving tasks
+// is the sum of the squared job sizes. The estimate is the expected number of arrivals plus one
+// standard deviation. Tasks of the class that end in the meantime free their capacity and are
+// subtracted.
 std::uint32_t HeadroomEstimator::expected_tasks(const std::string& job_class,
                                                 const Arrivals& arrivals, double boot_s) const {
   const Ms now = sources_.runtime.now();
@@ -114,14 +120,14 @@
 std::vector<sched::Headroom> HeadroomEstimator::estimate(
     const sched::ClusterSnapshot& snapshot) const {
   std::vector<sched::Headroom> list;
-  const double spent = hourly_price(snapshot);
+  const double hourly_cost = hourly_price(snapshot);
   for (const auto& [job_class, arrivals] : arrivals_) {
     if (arrivals.recent.empty()) continue;
     const Offers offers = offers_for(arrivals.latest);
-    // A class whose aim leaves time to boot needs no spare.
+    // If the start objective of a class leaves time to boot a machine, the class needs no headroom.
     if (offers.boot_s <= 0 || arrivals.within_s > 2 * offers.boot_s) continue;
     sched::Headroom headroom;
-    headroom.budget = sources_.operator_settings.headroom_share * spent;
+    headroom.budget = sources_.operator_settings.headroom_share * hourly_cost;
     headroom.max_price = kMaxHeadroomPrice * offers.cheapest;
     headroom.job =
         expected_job(arrivals.latest, expected_tasks(job_class, arrivals, offers.boot_s));
--- a/src/leader/scheduling/headroom_estimator.h
+++ b/src/leader/scheduling/headroom_estimator.h
@@ -1,5 +1,8 @@
-// How much room to keep free for tasks that are likely to come before a new machine could be up.
-// Owns the recent arrivals of the classes that have a start aim.
+// The HeadroomEstimator estimates how much spare capacity (headroom) the cluster needs for tasks
+// that will probably arrive before a new machine could boot. It owns the recent arrivals of the job
+// classes that have a start objective (a service-level objective of kind "wait"). The
+// SchedulingLoop reports arrivals to it and the Autoscaler reads the estimate. Names that end in
+// `_s` are in seconds, and times of type net::Ms are in milliseconds of the steady clock.
 #pragma once
 
 #include <cstdint>
@@ -23,23 +26,25 @@
 
   void end_term();
 
-  // The job may be scheduled from now on.
+  // Records that the job has become ready to be scheduled.
   void record_arrival(const JobRecord& job);
-  // Forgets the oldest arrivals, so that a class of many small jobs costs no memory without bound.
+  // Discards the oldest arrivals of each class beyond the maximum, so that a class of many small
+  // jobs does not use unbounded memory.
   void trim_arrivals();
-  // For each class with a start aim that leaves no time to boot: as many tasks as are likely to
-  // come while a machine boots. The result points into the arrivals.
+  // Returns one entry for each class whose start objective is too short to boot a machine: a
+  // stand-in job with as many tasks as are likely to arrive while a machine boots. The result
+  // points into the stored arrivals and is valid until the next call that changes them.
   [[nodiscard]] std::vector<sched::Headroom> estimate(const sched::ClusterSnapshot& snapshot) const;
 
  private:
   struct Arrivals {
-    double within_s = 0;  // the shortest start aim
+    double within_s = 0;  // the shortest start objective of the class
     wire::Job latest;
-    std::deque<std::pair<net::Ms, std::uint32_t>> recent;  // when, how many tasks
+    std::deque<std::pair<net::Ms, std::uint32_t>> recent;  // arrival time, number of tasks
   };
-  // What the catalog says of the types that fit a class.
+  // What the catalog offers for a class: the machine types that fit its latest job.
   struct Offers {
-    double boot_s = 0;  // the longest
+    double boot_s = 0;  // the longest boot time among them
     double cheapest = 0;
   };
 
@@ -49,7 +54,7 @@
                                              double boot_s) const;
 
   const SchedulingSources& sources_;
-  std::map<std::string, Arrivals> arrivals_;  // by class
+  std::map<std::string, Arrivals> arrivals_;  // by job class
 };
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/isolation_detector.h
+++ b/src/leader/scheduling/isolation_detector.h
@@ -1,6 +1,7 @@
-// Whether this leader is cut off from its workers, though not from the state service: each worker
-// is then sent back to it by all other nodes until its lease is over, so that it should make way
-// for another leader.
+// The IsolationDetector detects that this leader has lost the connection to its workers although it
+// still reaches the state service. All other nodes keep redirecting the workers to this leader
+// until its lease expires, so it should resign in favor of another leader. The SchedulingLoop calls
+// the detector at every tick. Times are in milliseconds of the steady clock.
 #pragma once
 
 #include "config/settings.h"
@@ -15,19 +16,20 @@
                     const Fleet& fleet)
       : runtime_(runtime), settings_(settings), fleet_(fleet) {}
 
-  void start_term(net::Ms began);
-  // To be called at every tick. Reports isolation at the second tick in a row that finds it: after
-  // a pause of this process everything looks silent until the sockets have been read.
+  void start_term(net::Ms started_at);
+  // Returns true if this leader is isolated. The caller calls this at every tick. Two consecutive
+  // ticks must find the leader isolated: after a pause of this process all heartbeats look overdue
+  // until the process has read its sockets.
   [[nodiscard]] bool check();
 
  private:
-  [[nodiscard]] bool most_are_silent() const;
+  [[nodiscard]] bool most_are_overdue() const;
 
   const net::Runtime& runtime_;
   const config::Settings& settings_;
   const Fleet& fleet_;
   net::Ms last_check_at_ = 0;
-  int isolated_checks_ = 0;  // in a row
+  int isolated_checks_ = 0;  // consecutive checks that found most machines overdue
 };
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/job_views.cc
+++ b/src/leader/scheduling/job_views.cc
@@ -13,15 +13,15 @@
 
 namespace {
 
-// Pending tasks of one job that a pass looks at.
-constexpr std::size_t kPassTasks = 256;
+// The maximum number of pending tasks of one job that a pass considers.
+constexpr std::size_t kMaxPendingTasksPerJob = 256;
 
-// The first tasks that wait, `most` of them; of a gang all, however large, since it is placed
-// whole.
-std::vector<std::uint32_t> pending_tasks(const JobRecord& job, std::size_t most) {
+// Returns the first `max_tasks` pending tasks of the job. For a gang it returns all pending tasks,
+// however many, because a gang is placed as a whole.
+std::vector<std::uint32_t> pending_tasks(const JobRecord& job, std::size_t max_tasks) {
   std::vector<std::uint32_t> pending;
   for (std::uint32_t task = job.first_unclaimed_task; task < job.spec.tasks; ++task) {
-    if (!job.gang() && pending.size() == most) break;
+    if (!job.gang() && pending.size() == max_tasks) break;
     if (!job.claimed[task]) pending.push_back(task);
   }
   return pending;
@@ -37,7 +37,7 @@
   for (const auto& [id, job] : sources_.jobs) {
     const Extent extent = extent_of(*job);
     if (extent == Extent::none) continue;
-    auto pending = pending_tasks(*job, extent == Extent::probe ? 1 : kPassTasks);
+    auto pending = pending_tasks(*job, extent == Extent::probe ? 1 : kMaxPendingTasksPerJob);
     if (pending.empty()) {
       job->first_unclaimed_task = job->spec.tasks;
       continue;
@@ -51,7 +51,7 @@
     view.within_guarantee = guaranteed.contains(job.get());
     view.fair_share_rank = view.within_guarantee ? 0 : 1;
     view.blocked = now < job->retry_at;
-    view.anti_affinity = tasks_to_avoid(*job);
+    view.anti_affinity = machines_to_avoid(*job);
     if (!view.blocked) apply_reservations(*job, view, snapshot);
     snapshot.jobs.push_back(std::move(view));
     jobs.push_back(job.get());
@@ -62,30 +62,34 @@
 JobViews::Extent JobViews::extent_of(const JobRecord& job) const {
   if (!job.active() || job.unreadable || job.first_unclaimed_task == job.spec.tasks)
     return Extent::none;
-  // No task before all that the job depends on is durably done: also no room held, no machine
-  // rented, no limit taken.
+  // No task may start before every job that this job depends on is durably done (docs/safety.md,
+  // "No task starts too early"). Until then the job also reserves no capacity, causes no scale-out
+  // and counts towards no team limit.
   if (!sources_.dependencies.ready(job.spec.id)) return Extent::none;
-  // A gang's next attempt waits for all of the last.
+  // A gang's next attempt starts only after all attempts of the previous one have been removed.
   if (job.gang()) return job.attempts.empty() ? Extent::full : Extent::none;
   if (!job.fails_everywhere() || job.running != 0) return Extent::full;
-  // A job that fails everywhere takes room for one task, to see whether it still does.
+  // A job that failed on more than one machine gets capacity for a single task, which shows whether
+  // the job still fails.
   return job.attempts.empty() ? Extent::probe : Extent::none;
 }
 
-// A job is within its team's guarantee if it fits there together with the team's earlier unfinished
-// jobs.
+// Returns the jobs that are within their team's guaranteed quota: a job is within it if the quota
+// covers the job together with all earlier unfinished jobs of the team.
 std::set<const JobRecord*> JobViews::jobs_within_guarantee() const {
-  std::vector<const JobRecord*> order;
+  std::vector<const JobRecord*> jobs_by_age;
   for (const auto& [id, job] : sources_.jobs)
-    // (What waits for others holds no part of its team's guarantee.)
+    // A job that still waits for its dependencies uses none of the guaranteed quota of its team.
     if (job->active() && job->spec.gpus > 0 && sources_.dependencies.ready(id))
-      order.push_back(job.get());
-  std::sort(order.begin(), order.end(), [](const JobRecord* left, const JobRecord* right) {
-    return std::tie(left->created_ms, left->spec.id) < std::tie(right->created_ms, right->spec.id);
-  });
+      jobs_by_age.push_back(job.get());
+  std::sort(jobs_by_age.begin(), jobs_by_age.end(),
+            [](const JobRecord* left, const JobRecord* right) {
+              return std::tie(left->created_ms, left->spec.id) <
+                     std::tie(right->created_ms, right->spec.id);
+            });
   std::map<std::string, double> requested_gpus;  // by team
   std::set<const JobRecord*> result;
-  for (const JobRecord* job : order) {
+  for (const JobRecord* job : jobs_by_age) {
     const config::Team* team = sources_.settings.team(job->spec.team);
     double& gpus = requested_gpus[job->spec.team];
     gpus += (job->spec.tasks - job->finished_count) * job->spec.gpus;
@@ -94,32 +98,35 @@
   return result;
 }
 
-// Where a copy of an earlier attempt's start may still come late, that attempt is not forgotten,
-// and would be in the way of this one.
-std::set<std::pair<std::uint32_t, std::size_t>> JobViews::tasks_to_avoid(JobRecord& job) {
+// Returns the machines on which a task of the job must not be placed, as pairs of task and machine
+// slot. A late copy of the start of an earlier attempt may still reach these machines. The leader
+// therefore has to keep the record of that earlier attempt, and that record would conflict with a
+// new attempt of the same task on the same machine.
+std::set<std::pair<std::uint32_t, std::size_t>> JobViews::machines_to_avoid(JobRecord& job) {
   std::set<std::pair<std::uint32_t, std::size_t>> anti_affinity;
-  for (auto left = job.unreaped_attempts.begin(); left != job.unreaped_attempts.end();) {
-    const auto& [task, name] = *left;
+  for (auto unreaped = job.unreaped_attempts.begin(); unreaped != job.unreaped_attempts.end();) {
+    const auto& [task, name] = *unreaped;
     const Machine* machine = fleet_.find(name);
     if (!machine || !machine->may_replay_start({job.spec.id, task})) {
-      left = job.unreaped_attempts.erase(left);
+      unreaped = job.unreaped_attempts.erase(unreaped);
       continue;
     }
     if (machine->slot != Machine::kNoSlot) anti_affinity.insert({task, machine->slot});
-    ++left;
+    ++unreaped;
   }
   return anti_affinity;
 }
 
-// Room that a gang holds is taken in the snapshot before anything is placed.
+// Subtracts the capacity that the gang has reserved from the snapshot before the pass places any
+// task.
 void JobViews::apply_reservations(const JobRecord& job, sched::JobView& view,
                                   sched::ClusterSnapshot& snapshot) {
   for (const auto& [task, name] : job.reservations) {
     const Machine* machine = fleet_.find(name);
     if (!machine || machine->slot == Machine::kNoSlot) continue;
-    sched::MachineView& room = snapshot.machines[machine->slot];
-    if (!room.schedulable) continue;
-    room.free -= view.request;
+    sched::MachineView& machine_view = snapshot.machines[machine->slot];
+    if (!machine_view.schedulable) continue;
+    machine_view.free -= view.request;
     sched::TeamView& team = snapshot.teams[view.team];
     team.cpus += view.request.cpus;
     team.gpus += view.request.gpus;
--- a/src/leader/scheduling/job_views.h
+++ b/src/leader/scheduling/job_views.h
@@ -1,5 +1,6 @@
-// The jobs of the snapshot, made again in every pass: those that have tasks to place, in the order
-// of their ids.
+// JobViews builds the jobs of the scheduling snapshot. Every pass rebuilds them: the snapshot
+// contains the jobs that have tasks to place, in the order of their ids. The SnapshotBuilder owns
+// this class and calls it once before every pass.
 #pragma once
 
 #include <cstddef>
@@ -21,17 +22,19 @@
   JobViews(const SchedulingSources& sources, Fleet& fleet, const StartDeadlineEstimator& deadlines)
       : sources_(sources), fleet_(fleet), deadlines_(deadlines) {}
 
-  // Replaces the snapshot's jobs, and takes the room that gangs have reserved. Returns the records,
-  // in the order of the views. Call it after the machines and teams are up to date.
+  // Replaces the snapshot's jobs and subtracts the capacity that gangs have reserved. Returns the
+  // records in the order of the views. The caller updates the machines and teams of the snapshot
+  // first, because the reservations are subtracted from them.
   std::vector<JobRecord*> update(sched::ClusterSnapshot& snapshot);
 
  private:
-  // A pass may place the tasks of some jobs only in part.
+  // How many of a job's pending tasks a pass may place: no task, one task that shows whether the
+  // job still fails (probe), or as many as fit (full).
   enum class Extent { none, probe, full };
 
   [[nodiscard]] Extent extent_of(const JobRecord& job) const;
   [[nodiscard]] std::set<const JobRecord*> jobs_within_guarantee() const;
-  [[nodiscard]] std::set<std::pair<std::uint32_t, std::size_t>> tasks_to_avoid(JobRecord& job);
+  [[nodiscard]] std::set<std::pair<std::uint32_t, std::size_t>> machines_to_avoid(JobRecord& job);
   void apply_reservations(const JobRecord& job, sched::JobView& view,
                           sched::ClusterSnapshot& snapshot);
 
--- a/src/leader/scheduling/leader_upkeep.cc
+++ b/src/leader/scheduling/leader_upkeep.cc
@@ -9,14 +9,14 @@
 
 void LeaderUpkeep::release_expired() {
   const Ms lease = net::ms(sources_.settings.lease_s);
-  // Twice the drift of 0.05% each way, and a little.
+  // The margin covers twice the maximum clock drift of 0.05% in either direction, plus 50 ms.
   const Ms margin = lease / 500 + 50;
   const ExpiryTimes times{lease + margin, net::ms(sources_.settings.cancel_s) + margin};
   std::vector<Machine*> expired;
   for (auto& [name, machine] : fleet_.machines()) {
     if (machine.attempts.empty()) continue;
     const bool confirmed = machine.last_heartbeat_at >= 0 && machine.token >= election_.epoch();
-    if (sources_.attempts.lease_expired(machine, began_, confirmed, times))
+    if (sources_.attempts.lease_expired(machine, term_started_at_, confirmed, times))
       expired.push_back(&machine);
   }
   for (Machine* machine : expired)
@@ -25,11 +25,11 @@
 
 LeaderUpkeep::Reservations LeaderUpkeep::expire_reservations() {
   const Ms now = sources_.runtime.now();
-  const Ms patience = net::ms(sources_.operator_settings.hold_timeout_s);
+  const Ms timeout = net::ms(sources_.operator_settings.hold_timeout_s);
   Reservations result;
   for (const auto& [id, job] : sources_.jobs) {
     if (!job->reservations.empty() && !job->all_or_nothing &&
-        now - job->reservations_since > patience) {
+        now - job->reservations_since > timeout) {
       job->reservations.clear();
       job->all_or_nothing = true;
       result.any_expired = true;
@@ -39,7 +39,8 @@
   return result;
 }
 
-// A stop that came later would leave no time to save before the machine is taken.
+// Returns true if the attempt has to be stopped now: a later stop would not leave the task enough
+// time to save its progress before the cloud takes the machine.
 bool LeaderUpkeep::must_stop_now(const TaskAttempt& attempt, Ms preemption_at) const {
   const wire::Job& spec = attempt.job->spec;
   if (attempt.stop || !attempt.sent || spec.checkpoint_s <= 0) return false;
--- a/src/leader/scheduling/leader_upkeep.h
+++ b/src/leader/scheduling/leader_upkeep.h
@@ -1,5 +1,6 @@
-// What time alone brings about: worker leases and gangs' reservations that expire, and spot
-// machines that the cloud is about to take. Called by the SchedulingLoop at every tick.
+// LeaderUpkeep handles what happens because time passes: worker leases expire, gangs' reservations
+// expire, and the cloud preempts spot machines. The SchedulingLoop calls it at every tick. Times
+// are in milliseconds of the steady clock.
 #pragma once
 
 #include <set>
@@ -19,19 +20,23 @@
                TaskActions& actions)
       : sources_(sources), election_(election), fleet_(fleet), actions_(actions) {}
 
-  void start_term(net::Ms began) { began_ = began; }
+  void start_term(net::Ms started_at) { term_started_at_ = started_at; }
 
-  // Releases what is on machines that have been silent for longer than their workers' leases.
+  // Releases all attempts on machines whose worker has had no contact with this leader for longer
+  // than its lease: the worker has killed its tasks by then.
   void release_expired();
 
   struct Reservations {
-    std::set<std::string> machines;  // on which gangs hold room still
+    std::set<std::string> machines;  // machines on which gangs still reserve capacity
     bool any_expired = false;
   };
-  // A gang that has held room for too long gives it back.
+  // Cancels the reservations that are older than the operator's hold timeout. From then on such a
+  // gang reserves capacity only when all of it fits. Returns the remaining reservations, and
+  // whether any reservation expired.
   [[nodiscard]] Reservations expire_reservations();
 
-  // Before the cloud takes a spot machine, what can save its progress is stopped to do so.
+  // Handles spot machines whose preemption the cloud has announced: stops the tasks that can save
+  // their progress, early enough to save it before the cloud takes the machine.
   void drain_preempted();
 
  private:
@@ -41,7 +46,7 @@
   const Election& election_;
   Fleet& fleet_;
   TaskActions& actions_;
-  net::Ms began_ = 0;
+  net::Ms term_started_at_ = 0;
 };
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/machine_views.cc
+++ b/src/leader/scheduling/machine_views.cc
@@ -38,18 +38,22 @@
   free_slots_.push_back(machine.slot);
 }
 
-// What time alone changes, in every pass.
+// Updates the fields that depend on the current time. This runs for every machine in every pass,
+// even if the machine itself has not changed.
 void MachineViews::update_availability(sched::MachineView& view, const Machine& machine,
                                        const wire::MachineType& type) const {
   const Ms now = sources_.runtime.now();
-  // A third of the lease without a heartbeat: whatever is started there may never be.
-  const Ms fresh = net::ms(sources_.settings.lease_s) / 3;
+  // A machine whose last heartbeat is older than a third of the worker lease takes no new tasks:
+  // its worker may never receive their starts.
+  const Ms max_heartbeat_age = net::ms(sources_.settings.lease_s) / 3;
   view.price = machine.spot ? type.spot_price : type.price;
   view.schedulable = machine.registered && !machine.deleting && !machine.draining &&
                      !machine.preemption_at && machine.unknown_tasks == 0 &&
-                     now >= machine.quarantined_until && now - machine.last_heartbeat_at < fresh;
-  // (One that reports shows within a report that it has learned of this leader; else it is no
-  // machine that will be open soon.)
+                     now >= machine.quarantined_until &&
+                     now - machine.last_heartbeat_at < max_heartbeat_age;
+  // A worker shows this leader's epoch within one heartbeat interval of its first heartbeat. A
+  // machine whose worker does not do so does not count as booting, because it will not become
+  // schedulable soon.
   view.booting = !machine.registered && !machine.deleting && machine.attempts.empty() &&
                  (machine.first_heartbeat_at ? now - *machine.first_heartbeat_at <
                                                    net::ms(sources_.settings.heartbeat_interval_s)
--- a/src/leader/scheduling/machine_views.h
+++ b/src/leader/scheduling/machine_views.h
@@ -1,5 +1,6 @@
-// The machines of the snapshot, kept from pass to pass: the view of a machine is made again only
-// after the machine has changed. Owns which places in the snapshot are free.
+// MachineViews maintains the machines of the scheduling snapshot. The views persist from pass to
+// pass: a machine's view is rebuilt only after the machine has changed. The class owns the list of
+// free slots in the snapshot. The SnapshotBuilder calls it before every pass.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +20,7 @@
 
   void end_term() { free_slots_.clear(); }
   void update(sched::ClusterSnapshot& snapshot);
-  // The machine no longer exists: its place is free for another.
+  // Clears the slot of a machine that no longer exists, so that another machine can use the slot.
   void remove(const Machine& machine, sched::ClusterSnapshot& snapshot);
 
  private:
--- a/src/leader/scheduling/scheduling_loop.cc
+++ b/src/leader/scheduling/scheduling_loop.cc
@@ -13,12 +13,13 @@
 
 namespace {
 
-// A pass follows what calls for it at once, but for the last pass: what comes in between goes
-// together, into fewer records and messages. (A share of the report interval.)
-constexpr double kPassPause = 0.04;
-// After a pass the controller is free for its other work for so many times as long as the pass took
-// and came late.
-constexpr Ms kPassRest = 4;
+// A pass normally starts at once when it is requested, but not sooner than this share of a
+// heartbeat interval after the previous pass. Requests in between are handled by one pass, which
+// needs fewer records and messages.
+constexpr double kMinPassPause = 0.04;
+// After a pass, no other pass starts for this many times the sum of the pass's duration and its
+// lateness. The controller handles its other work in this time.
+constexpr Ms kPassCooldownFactor = 4;
 
 }  // namespace
 
@@ -35,11 +36,11 @@
       isolation_(sources.runtime, sources.settings, fleet),
       load_log_(sources.runtime, sources.settings, state, election) {}
 
-void SchedulingLoop::start_term(Ms began) {
-  autoscaler_.start_term(began);
-  upkeep_.start_term(began);
-  isolation_.start_term(began);
-  load_log_.start_term(began);
+void SchedulingLoop::start_term(Ms started_at) {
+  autoscaler_.start_term(started_at);
+  upkeep_.start_term(started_at);
+  isolation_.start_term(started_at);
+  load_log_.start_term(started_at);
   tick();
 }
 
@@ -64,14 +65,17 @@
 
 void SchedulingLoop::run_pass(Ms lateness) {
   if (!may_schedule() || !sources_.catalog.known()) return;
-  const Ms began = sources_.runtime.now();
+  const Ms started_at = sources_.runtime.now();
   schedule(snapshot_.update());
-  // A slow controller falls behind in freshness, and not in heartbeats, renewals and answers. What
-  // a pass starts is work for later, too: thousands of short tasks would end, be reported and be
-  // replaced until nothing else is done in time, the renewal of the lease included.
-  const Ms after = sources_.runtime.now();
-  next_pass_at_ = after + std::max(kPassRest * (after - began + lateness),
-                                   net::ms(kPassPause * sources_.settings.heartbeat_interval_s));
+  // The pause scales with the duration and the lateness of the pass, so that an overloaded
+  // controller schedules less often but still handles heartbeats, lease renewals and answers in
+  // time. The tasks that a pass starts cause further work: without the pause, thousands of short
+  // tasks would end, be reported and be replaced, and nothing else would be done in time, not even
+  // the renewal of the leader's lease.
+  const Ms finished_at = sources_.runtime.now();
+  next_pass_at_ =
+      finished_at + std::max(kPassCooldownFactor * (finished_at - started_at + lateness),
+                             net::ms(kMinPassPause * sources_.settings.heartbeat_interval_s));
 }
 
 void SchedulingLoop::schedule(const std::vector<JobRecord*>& jobs) {
@@ -116,13 +120,14 @@
     machine->nominated_until =
         sources_.runtime.now() +
         net::ms(termination_grace_s + 2 * sources_.settings.heartbeat_interval_s);
-    spdlog::debug("clearing {} of {} tasks for {}", machine->name, preemption.tasks.size(),
-                  machine->nominated_job);
+    spdlog::debug("machine {}: preempting {} tasks for job {}", machine->name,
+                  preemption.tasks.size(), machine->nominated_job);
   }
   actions_.send_stops(stops);
 }
 
-// The job has what it waited for: no room is kept for it any longer.
+// Starts the placed tasks. The job no longer waits for capacity, so its nominations on machines,
+// its reserved zone and its all-or-nothing mode end.
 void SchedulingLoop::launch(JobRecord& job, const std::vector<sched::Placement>& placements) {
   for (auto& [name, machine] : fleet_.machines())
     if (machine.nominated_job == job.spec.id) machine.nominated_job.clear();
@@ -153,7 +158,7 @@
   std::set<std::string> reserved = std::move(reservations.machines);
   reserved.insert(autoscaler_.headroom_machines().begin(), autoscaler_.headroom_machines().end());
   upkeep_.drain_preempted();
-  log_use(fleet_.machines());
+  log_usage(fleet_.machines());
   fleet_.reclaim_unwanted(reserved);
   request_pass();
 }
--- a/src/leader/scheduling/scheduling_loop.h
+++ b/src/leader/scheduling/scheduling_loop.h
@@ -1,7 +1,8 @@
-// Scheduling in one term of leadership: when a pass is made, and what follows from it (starts,
-// preemptions, reservations, rentals), beside what is done at every tick. Owns the pacing of passes
-// and the parts of scheduling. Actor: every call comes from the leader's loop; acts on attempts
-// only through TaskActions.
+// The SchedulingLoop does the scheduling during a term of leadership. It decides when a scheduling
+// pass runs and carries out the pass's decisions: starts, preemptions, reservations and scale-out.
+// It also runs the periodic checks of every tick. It owns the pacing of passes and the classes that
+// scheduling consists of. It is an actor: all calls come from the leader's event loop. It acts on
+// attempts only through TaskActions. Times are in milliseconds of the steady clock.
 #pragma once
 
 #include <vector>
@@ -26,27 +27,28 @@
 
 class SchedulingLoop {
  public:
-  // `state` is asked for the figures of the line on load, and for nothing else.
+  // `state` is used only to read the counters for the periodic `load` log line.
   SchedulingLoop(const SchedulingSources& sources, const state::Client& state, Election& election,
                  Fleet& fleet, TaskActions& actions);
 
-  // `began`: when the term began. Ticks run from here; passes wait for allow_passes().
-  void start_term(net::Ms began);
-  // All records are listed.
+  // Starts the ticks of a term that began at `started_at`. Passes start only after allow_passes().
+  void start_term(net::Ms started_at);
+  // Allows passes. The caller calls this once recovery has read all records.
   void allow_passes() { recovered_ = true; }
   void end_term();
 
-  // Something has changed that a pass could act on.
+  // Requests a pass, because something has changed that a pass could act on.
   void request_pass();
-  // The job may be scheduled from now on.
+  // Records that the job has become ready to be scheduled.
   void record_arrival(const JobRecord& job) { headroom_.record_arrival(job); }
-  // The machine no longer exists: its place in the snapshot is free for another.
+  // Frees the snapshot slot of a machine that no longer exists, so that another machine can use it.
   void forget_machine(const Machine& machine) { snapshot_.remove(machine); }
 
  private:
   [[nodiscard]] bool may_schedule() const { return recovered_ && election_.holds(); }
 
-  // `lateness`: how long after it was due; a sign of how busy this process is.
+  // Runs a pass. `lateness` is the time by which the pass starts later than it was due; it shows
+  // how busy this process is.
   void run_pass(net::Ms lateness);
   void schedule(const std::vector<JobRecord*>& jobs);
   void replace_reservations(const std::vector<JobRecord*>& jobs, const sched::Decisions& decisions);
--- a/src/leader/scheduling/snapshot_builder.cc
+++ b/src/leader/scheduling/snapshot_builder.cc
@@ -29,7 +29,8 @@
   std::vector<JobRecord*> jobs = jobs_.update(snapshot_);
   update_fair_shares(jobs);
   reserve_zones(snapshot_, jobs, sources_.runtime.now(), longest_boot_s(sources_.catalog));
-  // Room that is held is taken in the snapshot only until the pass is over.
+  // The capacity that reservations subtract applies to this pass only, so the views of these
+  // machines are rebuilt for the next pass.
   for (const sched::JobView& view : snapshot_.jobs)
     for (const sched::Placement& reserved : view.reservations) invalidate(reserved.machine);
   return jobs;
@@ -47,11 +48,14 @@
   }
 }
 
-// Where machines have had time to come, twice over, and did not, more is asked than there is.
+// Ranks the jobs by fair share if demand exceeds the available capacity. The sign of this is a job
+// that has been ready for more than twice the longest boot time: new machines would have booted by
+// then, but the cloud did not supply them.
 void SnapshotBuilder::update_fair_shares(const std::vector<JobRecord*>& jobs) {
-  const double patience_s = 2 * longest_boot_s(sources_.catalog);
-  if (std::none_of(jobs.begin(), jobs.end(),
-                   [&](const JobRecord* job) { return deadlines_.age_s(*job) > patience_s; }))
+  const double max_expected_wait_s = 2 * longest_boot_s(sources_.catalog);
+  if (std::none_of(jobs.begin(), jobs.end(), [&](const JobRecord* job) {
+        return deadlines_.age_s(*job) > max_expected_wait_s;
+      }))
     return;
   std::map<std::string, double> guaranteed;
   for (const config::Team& team : sources_.settings.teams) guaranteed[team.name] = team.gpus;
--- a/src/leader/scheduling/snapshot_builder.h
+++ b/src/leader/scheduling/snapshot_builder.h
@@ -1,5 +1,6 @@
-// The snapshot of the cluster on which passes decide. Owned here and kept from pass to pass: it is
-// brought up to date in place, never copied. Used by the SchedulingLoop only.
+// The SnapshotBuilder owns the snapshot of the cluster on which scheduling passes decide. The
+// snapshot persists from pass to pass: the builder updates it in place and never copies it. Only
+// the SchedulingLoop uses this class.
 #pragma once
 
 #include <cstddef>
@@ -21,18 +22,19 @@
 
   void end_term();
 
-  // Brings the snapshot up to date: machines, teams, jobs, fair shares, then zones kept for gangs.
-  // Returns the records of snapshot().jobs, in the same order.
+  // Updates the snapshot in this order: machines, teams, jobs, fair shares, then the zones that are
+  // reserved for gangs. Returns the records of snapshot().jobs, in the same order.
   std::vector<JobRecord*> update();
   [[nodiscard]] sched::ClusterSnapshot& snapshot() { return snapshot_; }
-  // The machine at this place; null if it no longer exists.
+  // The machine in this slot of the snapshot; null if the machine no longer exists.
   [[nodiscard]] Machine* machine_at(std::size_t slot) {
     return fleet_.find(snapshot_.machines[slot].name);
   }
-  // A pass changes the view of this machine beyond what the machine itself becomes: it is made
-  // again for the next pass.
+  // Marks the view of the machine in this slot to be rebuilt for the next pass. The caller uses
+  // this when a pass has changed the view in a way that does not follow from a change of the
+  // machine itself.
   void invalidate(std::size_t slot);
-  // The machine no longer exists.
+  // Removes a machine that no longer exists from the snapshot.
   void remove(const Machine& machine) { machines_.remove(machine, snapshot_); }
 
  private:
--- a/src/leader/scheduling/sources.h
+++ b/src/leader/scheduling/sources.h
@@ -1,4 +1,4 @@
-// What the parts of scheduling read of the rest of the leader. All of it outlives them.
+// The state of the leader that the scheduling classes read. Every referenced object outlives them.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 struct SchedulingSources {
   net::Runtime& runtime;
-  const JobTable& jobs;  // decisions are made in the order of their ids
+  const JobTable& jobs;  // scheduling iterates over the jobs in the order of their ids
   const AttemptTracker& attempts;
   const sched::DependencyGraph& dependencies;
   const cloud::MachineCatalog& catalog;
@@ -22,7 +22,7 @@
   const config::OperatorSettings& operator_settings;
 };
 
-// The longest boot of any machine type, in seconds; 0 if no type is known.
+// The longest boot time of any machine type, in seconds; 0 if no machine type is known.
 [[nodiscard]] inline double longest_boot_s(const cloud::MachineCatalog& catalog) {
   double longest = 0;
   for (const auto& [name, type] : catalog.types()) longest = std::max(longest, type.boot_s);
--- a/src/leader/scheduling/start_deadline_estimator.cc
+++ b/src/leader/scheduling/start_deadline_estimator.cc
@@ -7,7 +7,8 @@
 namespace seampass::leader {
 
 namespace {
-// Owners' estimates err by half and more.
+// Owners' run-time estimates are wrong by 50% and more, so the run time is assumed to be this many
+// times the estimate.
 constexpr double kEstimateFactor = 1.5;
 }  // namespace
 
@@ -22,13 +23,14 @@
 }
 
 bool StartDeadlineEstimator::has_start_objective(const std::string& job_class) const {
-  const auto found = objectives_by_class_.find(job_class);
-  if (job_class.empty() || found == objectives_by_class_.end()) return false;
-  return std::any_of(found->second.begin(), found->second.end(),
+  const auto objectives = objectives_by_class_.find(job_class);
+  if (job_class.empty() || objectives == objectives_by_class_.end()) return false;
+  return std::any_of(objectives->second.begin(), objectives->second.end(),
                      [](const auto& objective) { return objective.kind == "wait"; });
 }
 
-// The start meets the first of its class's aims that can be met.
+// Of the objectives of the job's class that can still be met, the earliest one determines the wait
+// budget.
 double StartDeadlineEstimator::wait_budget_s(const JobRecord& job) const {
   const wire::Job& spec = job.spec;
   double boot_s = 0;
@@ -39,19 +41,21 @@
     if (type.fetch_gb_per_s > 0) fetch_s = std::max(fetch_s, spec.image_gb / type.fetch_gb_per_s);
   }
   const double age = age_s(job);
-  const double least = boot_s / 2;
+  const double min_budget_s = boot_s / 2;
   const auto objectives = objectives_by_class_.find(spec.job_class);
-  if (objectives == objectives_by_class_.end()) return least;
-  double first = std::numeric_limits<double>::infinity();
+  if (objectives == objectives_by_class_.end()) return min_budget_s;
+  double shortest_slack_s = std::numeric_limits<double>::infinity();
   for (const config::ServiceLevelObjective& objective : objectives->second) {
-    double slack = -1;
-    if (objective.kind == "wait") slack = objective.within_s - age;
+    double slack_s = -1;
+    if (objective.kind == "wait") slack_s = objective.within_s - age;
     const double run_s = kEstimateFactor * spec.estimate_s + fetch_s;
-    if (objective.kind == "finished") slack = objective.within_s - age - run_s;
-    // (A deadline's slack is not waited out: estimates are too poor, and late work is paid for.)
-    if (slack > 0) first = std::min(first, slack);
+    if (objective.kind == "finished") slack_s = objective.within_s - age - run_s;
+    // An objective that can no longer be met is ignored. If the job has no other objective, it gets
+    // only the minimum budget, so that it starts soon: the run-time estimates are too inaccurate to
+    // rule out that it still ends in time, and late work is paid for as well.
+    if (slack_s > 0) shortest_slack_s = std::min(shortest_slack_s, slack_s);
   }
-  return std::isfinite(first) ? std::max(least, first) : least;
+  return std::isfinite(shortest_slack_s) ? std::max(min_budget_s, shortest_slack_s) : min_budget_s;
 }
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/start_deadline_estimator.h
+++ b/src/leader/scheduling/start_deadline_estimator.h
@@ -1,5 +1,6 @@
-// How long the start of a job may wait for room that is in use. Owns the service-level objectives
-// by class of jobs; they do not change.
+// The StartDeadlineEstimator computes how long the start of a job may wait for capacity that is
+// still in use, instead of causing scale-out. It owns the service-level objectives by job class,
+// which come from the settings and do not change. JobViews and the SnapshotBuilder call it.
 #pragma once
 
 #include <map>
@@ -16,11 +17,12 @@
  public:
   explicit StartDeadlineEstimator(const SchedulingSources& sources);
 
-  // For how many seconds the job's tasks have been ready to be started.
+  // The time in seconds for which the tasks of the job have been ready to start.
   [[nodiscard]] double age_s(const JobRecord& job) const;
-  // In seconds from now; at least half as long as a new machine would take to boot.
+  // The wait budget of the job in seconds from now; at least half of the time that a new machine
+  // for the job would take to boot.
   [[nodiscard]] double wait_budget_s(const JobRecord& job) const;
-  // Its class has a start aim.
+  // True if the job class has a start objective (a service-level objective of kind "wait").
   [[nodiscard]] bool has_start_objective(const std::string& job_class) const;
 
  private:
--- a/src/leader/scheduling/usage_log.cc
+++ b/src/leader/scheduling/usage_log.cc
@@ -14,14 +14,15 @@
 
 namespace {
 
-struct Use {
-  int up = 0, booting = 0, idle = 0, closed = 0, starting = 0, waiting = 0, running = 0;
+struct UsageCounts {
+  int registered = 0, booting = 0, idle = 0, closed_to_new_tasks = 0, starting = 0, waiting = 0,
+      running = 0;
 
   void add(const Machine& machine) {
-    ++(machine.registered ? up : booting);
+    ++(machine.registered ? registered : booting);
     if (!machine.registered) return;
     if (machine.attempts.empty()) ++idle;
-    if (machine.draining || machine.deleting || machine.preemption_at) ++closed;
+    if (machine.draining || machine.deleting || machine.preemption_at) ++closed_to_new_tasks;
     for (const auto& [task, attempt] : machine.attempts)
       ++(attempt->state == TaskState::running   ? running
          : attempt->state == TaskState::waiting ? waiting
@@ -44,14 +45,16 @@
   audit::load(load);
 }
 
-void log_use(const MachineInventory::Map& machines) {
+void log_usage(const MachineInventory::Map& machines) {
   if (!spdlog::should_log(spdlog::level::debug)) return;
-  std::map<std::string, Use> by_type;
+  std::map<std::string, UsageCounts> by_type;
   for (const auto& [name, machine] : machines) by_type[machine.type].add(machine);
-  for (const auto& [type, use] : by_type)
+  for (const auto& [type, counts] : by_type)
     spdlog::debug(
-        "{}: {} up, {} not yet, {} idle, {} closed; tasks {} starting, {} waiting, {} running",
-        type, use.up, use.booting, use.idle, use.closed, use.starting, use.waiting, use.running);
+        "machines of type {}: {} registered, {} booting, {} idle, {} closed to new tasks; "
+        "tasks: {} starting, {} waiting, {} running",
+        type, counts.registered, counts.booting, counts.idle, counts.closed_to_new_tasks,
+        counts.starting, counts.waiting, counts.running);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/usage_log.h
+++ b/src/leader/scheduling/usage_log.h
@@ -1,4 +1,6 @@
-// The log lines at intervals: how busy this controller is, and what the machines are used for.
+// The periodic log lines: how busy this controller is (LoadLog), and how the machines are used
+// (log_usage). The SchedulingLoop calls both at every tick. Times are in milliseconds of the steady
+// clock.
 #pragma once
 
 #include "config/settings.h"
@@ -15,8 +17,8 @@
           const Election& election)
       : runtime_(runtime), settings_(settings), state_(state), election_(election) {}
 
-  void start_term(net::Ms began) { logged_at_ = began; }
-  // Once in a worker's lease. `lateness`: of the tick that calls.
+  void start_term(net::Ms started_at) { logged_at_ = started_at; }
+  // Logs the load at most once per worker lease. `lateness` is how late the calling tick is.
   void log_if_due(net::Ms lateness);
 
  private:
@@ -27,8 +29,8 @@
   net::Ms logged_at_ = 0;
 };
 
-// By machine type: what is paid for, and what it is used for. Nothing is counted while the level
-// is off.
-void log_use(const MachineInventory::Map& machines);
+// Logs at level debug, for each machine type, how many machines are rented and what they are used
+// for. If that level is disabled, the function counts nothing.
+void log_usage(const MachineInventory::Map& machines);
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/views.cc
+++ b/src/leader/scheduling/views.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Only what saves its progress, runs, and is not being stopped already may be preempted.
+// An attempt may be preempted only if its job saves its progress, its task is running, and it is
+// not being stopped already. Tasks of gangs are never preempted one by one.
 bool is_preemptible(const TaskAttempt& attempt) {
   return !attempt.job->gang() && attempt.job->spec.checkpoint_s > 0 &&
          attempt.state == TaskState::running && !attempt.stop;
--- a/src/leader/scheduling/views.h
+++ b/src/leader/scheduling/views.h
@@ -1,6 +1,6 @@
-// The one conversion of the leader's records into what a scheduling pass sees of them. Only what
-// the record alone says: what depends on the time or on other records is set by MachineViews and
-// JobViews.
+// The only place that converts the leader's records into the views that a scheduling pass reads.
+// These functions set only the fields that follow from the record alone. MachineViews and JobViews
+// set the fields that depend on the time or on other records.
 #pragma once
 
 #include "leader/fleet/machine.h"
@@ -11,15 +11,16 @@
 
 namespace seampass::leader {
 
-// Brings the view up to what the machine is and what is on it.
+// Updates the view from the record of the machine and the attempts on it.
 void update_view(sched::MachineView& view, const Machine& machine, const wire::MachineType& type);
 
-// A machine of a rental that is not answered yet: nameless, and booting.
+// Returns the view of one machine of a rental that the cloud has not answered yet. It has no name
+// and is booting.
 [[nodiscard]] sched::MachineView view_of_pending(const PendingScaleOut& rental,
                                                  const wire::MachineType& type);
 
-// The job's rules and request, without its pending tasks and its place in the queue. The view
-// points into the record.
+// Returns a view with the placement rules and the resource request of the job, but without its
+// pending tasks and its position in the queue. The view points into the record.
 [[nodiscard]] sched::JobView view_of(const JobRecord& job);
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/zone_reservations.h
+++ b/src/leader/scheduling/zone_reservations.h
@@ -1,7 +1,8 @@
-// Zones that are kept for large gangs. A gang that timed out holds nothing until all of it fits,
-// and would starve while smaller ones take what comes free. So the first such gang in the queue
-// goes on holding, one for each zone: what comes free there goes to it, and what it lacks is rented
-// there. It moves on if that takes too long.
+// Reserves zones for large gangs. A gang whose reservations have timed out reserves nothing until
+// all of it fits, so it would starve while smaller gangs take the capacity that becomes free.
+// Therefore, in each zone, the first such gang in the queue continues to reserve capacity: it gets
+// the capacity that becomes free there, and scale-out for its missing capacity happens there. If
+// the gang does not start in time, it moves to another zone.
 #pragma once
 
 #include <vector>
@@ -12,8 +13,9 @@
 
 namespace seampass::leader {
 
-// `jobs`: the records of snapshot.jobs, in the same order. `longest_boot_s` sets how long a zone is
-// kept for a gang.
+// Assigns zones to gangs in the snapshot and in their records. `jobs` are the records of
+// snapshot.jobs, in the same order. `now` is in milliseconds of the steady clock. `longest_boot_s`,
+// in seconds, determines for how long a zone stays reserved for a gang.
 void reserve_zones(sched::ClusterSnapshot& snapshot, const std::vector<JobRecord*>& jobs,
                    net::Ms now, double longest_boot_s);
 
