--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -25,20 +25,20 @@
 struct Route {
   Action action;
   std::string_view method;
-  std::string_view job = {};  // that the path names, as it stands there
+  std::string_view job_id = {};  // the job id in the path, not yet validated
 };
 
-std::optional<Route> job_route(std::string_view job) {
-  Route route{Action::status_query, "GET", job};
-  if (job.ends_with(kCancelSuffix)) {
-    job.remove_suffix(kCancelSuffix.size());
-    route = {Action::cancellation, "POST", job};
+std::optional<Route> job_route(std::string_view job_id) {
+  Route route{Action::status_query, "GET", job_id};
+  if (job_id.ends_with(kCancelSuffix)) {
+    job_id.remove_suffix(kCancelSuffix.size());
+    route = {Action::cancellation, "POST", job_id};
   }
-  if (job.find('/') != std::string_view::npos) return std::nullopt;
+  if (job_id.find('/') != std::string_view::npos) return std::nullopt;
   return route;
 }
 
-// None if there is no such path.
+// Returns nothing if there is no such path.
 std::optional<Route> route_of(std::string_view path) {
   path = path.substr(0, path.find('?'));
   if (path == kHeartbeatPath) return Route{Action::heartbeat, "POST"};
@@ -48,7 +48,7 @@
   return std::nullopt;
 }
 
-bool names_job(const Route& route) {
+bool has_job_id(const Route& route) {
   return route.action == Action::status_query || route.action == Action::cancellation;
 }
 
@@ -67,7 +67,7 @@
   const std::optional<Route> route = route_of(request.path);
   if (!route) return answer(refusal(404, "no such path"));
   if (request.method != route->method) return answer(refusal(405, "method not allowed"));
-  if (names_job(*route) && !wire::valid_job_id(route->job))
+  if (has_job_id(*route) && !wire::valid_job_id(route->job_id))
     return answer(refusal(404, "no such job"));
   switch (route->action) {
     case Action::heartbeat:
@@ -77,13 +77,14 @@
     case Action::submission:
       return submissions_.submit(request, answer);
     case Action::status_query:
-      return queries_.answer_status(std::string(route->job), answer);
+      return queries_.answer_status(std::string(route->job_id), answer);
     case Action::cancellation:
-      return queries_.cancel(std::string(route->job), answer);
+      return queries_.cancel(std::string(route->job_id), answer);
   }
 }
 
-// Without the machine types no submission can be decided.
+// The health check fails until the machine types are known: without them this node can't
+// decide on any submission.
 void ApiHandler::answer_health(const Answer& answer) const {
   answer(catalog_.known() ? net::Response{200, "{}"} : unavailable("starting"));
 }
@@ -94,7 +95,8 @@
   try {
     const wire::Heartbeat heartbeat = wire::heartbeat_from(body);
     leader::HeartbeatReply reply = leader_term_.handle_heartbeat(heartbeat);
-    // A worker without tasks has little use for its connection.
+    // The server may close this connection first when connections are scarce: a worker that reports
+    // no tasks has little use for it.
     const bool may_close = heartbeat.tasks.empty();
     answer({reply.status, std::move(reply.body), 0, may_close});
   } catch (const wire::Malformed& error) {
--- a/src/jobs/api_handler.h
+++ b/src/jobs/api_handler.h
@@ -1,6 +1,7 @@
-// Answers what users, the load balancer and workers ask of this node over HTTP, whether it leads or
-// not: finds the handler of each request by its path and method. Owns no state; the HTTP server
-// calls it on this node's loop.
+// Handles the HTTP requests that users, workers and the load balancer send to this node, whether it
+// leads or not: it selects the handler of each request by path and method. It answers an unknown
+// path with 404, a wrong method with 405 and a malformed heartbeat with 400. It owns no state; the
+// HTTP server calls it on this node's event loop.
 #pragma once
 
 #include <string>
@@ -19,7 +20,7 @@
   ApiHandler(const cloud::MachineCatalog& catalog, leader::Election& election,
              leader::LeaderTerm& leader_term, Submissions& submissions, JobQueries& queries);
 
-  // Each request is answered once, perhaps after the call has returned.
+  // Calls `answer` exactly once, possibly after this function has returned.
   void handle(const net::Request& request, const net::Answer& answer);
 
  private:
--- a/src/jobs/final_status_cache.cc
+++ b/src/jobs/final_status_cache.cc
@@ -9,7 +9,7 @@
   return entry->second->status;
 }
 
-bool FinalStatusCache::written(const std::string& job) const {
+bool FinalStatusCache::known_written(const std::string& job) const {
   const auto entry = by_job_.find(job);
   return entry != by_job_.end() && entry->second->source == Source::written;
 }
--- a/src/jobs/http_answers.h
+++ b/src/jobs/http_answers.h
@@ -1,4 +1,4 @@
-// The answers that several kinds of requests have in common.
+// The error answers that the handlers of several kinds of HTTP requests share.
 #pragma once
 
 #include <string>
@@ -8,13 +8,15 @@
 
 namespace seampass::jobs {
 
-// What no repetition of the request would change.
+// The answer to a request that would fail again if the client repeated it; it has no Retry-After
+// header.
 [[nodiscard]] inline net::Response refusal(int status, const std::string& reason) {
   return {status, wire::Json{{"error", reason}}.dump(), 0};
 }
 
-// What can't be done now is answered at once, with the time after which to ask again: users retry
-// sooner than they would after a timeout.
+// The answer to a request that can't be served now, with the time after which to retry in the
+// Retry-After header. Handlers send it at once, because users then retry sooner than they would
+// after a timeout.
 [[nodiscard]] inline net::Response unavailable(const char* reason) {
   constexpr int retry_after_s = 1;
   return {503, wire::Json{{"error", reason}}.dump(), retry_after_s};
--- a/src/jobs/job_acceptance.cc
+++ b/src/jobs/job_acceptance.cc
@@ -10,14 +10,14 @@
 
 namespace {
 
-state::Txn creation(const std::string& job, const wire::Json& record) {
+state::Txn creation_txn(const std::string& job, const wire::Json& record) {
   state::Txn txn;
   txn.conditions = {{leader::open_key(job), 0}, {leader::final_status_key(job), 0}};
   txn.changes.push_back({leader::open_key(job), record, 0});
   return txn;
 }
 
-rpc::JobReply accepted(const std::string& job) {
+rpc::JobReply newly_accepted(const std::string& job) {
   rpc::JobReply reply;
   reply.lookup = rpc::Lookup::found;
   reply.status.id = job;
@@ -40,10 +40,10 @@
 void JobAcceptance::accept(const std::string& job, const wire::Json& record, Forwarding forwarding,
                            const JobReplyHandler& on_reply) {
   Request request{job, record, forwarding, on_reply};
-  // The leader's way to the store may be open where this node's is not.
+  // The leader may reach the state service even if this node can't.
   if (forwarding == Forwarding::allowed && state_.seems_down() && !election_.leading())
     return forward(request);
-  state_.txn(creation(job, record), state::Urgency::final_status,
+  state_.txn(creation_txn(job, record), state::Urgency::final_status,
              [this, request = std::move(request)](const state::TxnResult& result) {
                on_transaction(request, result);
              });
@@ -52,9 +52,10 @@
 void JobAcceptance::on_transaction(const Request& request, const state::TxnResult& result) {
   if (result.outcome == Outcome::conflict)
     return finder_.find(request.job, JobStatusFinder::Purpose::acceptance, request.on_reply);
-  // Not known, or not done: the transaction can be tried again from anywhere.
+  // The transaction was not executed, or its outcome is unknown. It is idempotent, so any node may
+  // repeat it.
   if (result.outcome != Outcome::ok) return forward(request);
-  request.on_reply(accepted(request.job));
+  request.on_reply(newly_accepted(request.job));
   announce(request, result.revision);
 }
 
@@ -64,7 +65,8 @@
   leader_client_.request_acceptance(request.job, request.record.dump(), request.on_reply);
 }
 
-// The leader would find the job by its watch of the store as well, only later.
+// Tells the leader about the job. The leader would also find it through its watch of the state
+// service, but later.
 void JobAcceptance::announce(const Request& request, state::Version version) {
   if (election_.leading())
     leader_term_.on_job_accepted(request.job, request.record, version);
--- a/src/jobs/job_acceptance.h
+++ b/src/jobs/job_acceptance.h
@@ -1,6 +1,7 @@
-// Makes a job durable: a compare-and-swap that creates its open record if it has neither an open
-// record nor a final status. A job is accepted by that alone, whichever node writes it. Owns no
-// state; called for submissions at this node and at others.
+// Makes a submitted job durable: a compare-and-swap creates the job's open record if the state
+// service holds neither an open record nor a final status of the job. The job is accepted once that
+// transaction succeeds, whichever node sends it; nothing else is needed. The class owns no state.
+// It is called for submissions that arrive at this node and for those that other nodes forward.
 #pragma once
 
 #include <memory>
@@ -16,8 +17,8 @@
 
 namespace seampass::jobs {
 
-// Whether the leader may be asked to write the record where the store does not answer this node. A
-// request that another node has forwarded is not forwarded again.
+// Whether this node may ask the leader to write the record if the state service does not answer
+// this node. A request that another node has forwarded must not be forwarded again.
 enum class Forwarding { allowed, forbidden };
 
 class JobAcceptance {
@@ -25,8 +26,9 @@
   JobAcceptance(state::Client& state, leader::Election& election, leader::LeaderTerm& leader_term,
                 JobStatusFinder& finder, LeaderClient& leader_client, rpc::PeerTransport& peers);
 
-  // Replies with `found` and `fresh` if this call has made the job durable, with what is known of
-  // it if it was accepted before, and with `unavailable` if neither is known to be so.
+  // Calls `on_reply` exactly once, possibly before this function returns. The reply is `found` and
+  // `fresh` if this call made the job durable, the job's known status if the job was accepted
+  // before, and `unavailable` if neither could be established.
   void accept(const std::string& job, const wire::Json& record, Forwarding forwarding,
               const JobReplyHandler& on_reply);
 
--- a/src/jobs/job_admission.h
+++ b/src/jobs/job_admission.h
@@ -1,5 +1,5 @@
-// Whether a job could ever run, by the settings and the cloud's machine types. Pure: owns no state.
-// Used by Submissions, once the machine types are known.
+// Decides whether a submitted job could ever run, given the settings and the cloud's machine types.
+// Pure: it owns no state. Submissions calls it once the machine types are known.
 #pragma once
 
 #include <map>
@@ -18,8 +18,8 @@
 
   explicit JobAdmission(const config::Settings& settings) : settings_(settings) {}
 
-  // Why the job can never run, as its user is told; none if it could. `record` is what would be
-  // stored of it.
+  // Returns the reason why the job can never run, as an error text for the user, or nothing if the
+  // job could run. `record` is the open record that would be stored for the job.
   [[nodiscard]] std::optional<std::string> rejection(const wire::Job& job, const wire::Json& record,
                                                      const MachineTypes& types) const;
 
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -1,4 +1,4 @@
-// What a look-up of a job in the state service has found.
+// The result of looking up a job in the state service.
 #pragma once
 
 #include "state/client.h"
@@ -6,14 +6,15 @@
 
 namespace seampass::jobs {
 
-// `open` is said only of a job none of whose dependencies, direct or not, was read as cancelled:
-// such a job counts as cancelled itself, whether that is written or not.
+// A job counts as cancelled as soon as one of its direct or indirect dependencies is cancelled,
+// even if the job's own final status is not written yet. So the result is `open` only if none of
+// these dependencies was read as cancelled.
 enum class Lookup { ended, open, not_found, unavailable };
 
 struct JobLookup {
   Lookup lookup = Lookup::unavailable;
-  wire::JobStatus status;  // of an open job: only its id is known
-  state::Item open;        // its record, if it is open
+  wire::JobStatus status;  // for an open job, only the id is set
+  state::Item open;        // the job's open record, if the job is open
 };
 
 }  // namespace seampass::jobs
--- a/src/jobs/job_queries.h
+++ b/src/jobs/job_queries.h
@@ -1,4 +1,4 @@
-// Answers status queries and cancellations. Owns no state; the ApiHandler calls it.
+// Answers users' status queries and cancellations. It owns no state; the ApiHandler calls it.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
       : status_reader_(status_reader), finder_(finder), leader_(leader) {}
 
   void answer_status(const std::string& job, const net::Answer& answer);
-  // Answered with 200 only once the job has a final status, be it cancelled or done.
+  // Answers 200 only once the job has a final status: cancelled, or done if it completed before.
   void cancel(const std::string& job, const net::Answer& answer);
 
  private:
--- a/src/jobs/job_status_finder.cc
+++ b/src/jobs/job_status_finder.cc
@@ -31,10 +31,10 @@
 
 void JobStatusFinder::find(const std::string& job, Purpose purpose,
                            const JobReplyHandler& on_found) {
-  if (const auto known = status_reader_.final_status(job)) {
-    audit::answer(*known, status_reader_.written(job) ? AnswerBasis::cache_written
-                                                      : AnswerBasis::cache_derived);
-    return on_found(reply_of({Lookup::ended, *known, {}}));
+  if (const auto cached = status_reader_.final_status(job)) {
+    audit::answer(*cached, status_reader_.written(job) ? AnswerBasis::cache_written
+                                                       : AnswerBasis::cache_derived);
+    return on_found(reply_of({Lookup::ended, *cached, {}}));
   }
   leader_.request_status(job, [this, job, purpose, on_found](const rpc::JobReply& reply) {
     if (reply.lookup == rpc::Lookup::unavailable) return read_store(job, purpose, on_found);
@@ -49,7 +49,7 @@
     if (found.lookup != Lookup::unavailable) audit::answer(found.status, AnswerBasis::store);
     on_found(reply_of(found));
   };
-  if (purpose == Purpose::poll) return status_reader_.query(job, on_read);
+  if (purpose == Purpose::status_query) return status_reader_.query(job, on_read);
   status_reader_.read(job, on_read);
 }
 
--- a/src/jobs/job_status_finder.h
+++ b/src/jobs/job_status_finder.h
@@ -1,5 +1,6 @@
-// Finds out what is known of a job: from the cache, else from the leader, else from the store. Owns
-// no state; any handler of requests may call it. Writes what the answer rests on to the audit log.
+// Finds the status of a job: in the cache, else by asking the leader, else by reading the state
+// service. It writes each answer other than `unavailable`, and its source, to the audit log. It
+// owns no state; any handler of requests may call it.
 #pragma once
 
 #include <string>
@@ -11,14 +12,14 @@
 
 class JobStatusFinder {
  public:
-  // Whoever polls can be told to come again, so that the store may be too busy for it; an
-  // acceptance has to know.
-  enum class Purpose { poll, acceptance };
+  // A status query may fail if the state service is busy, because the user can retry it. An
+  // acceptance needs the status, so its read waits for its turn instead.
+  enum class Purpose { status_query, acceptance };
 
   JobStatusFinder(JobStatusReader& status_reader, LeaderClient& leader)
       : status_reader_(status_reader), leader_(leader) {}
 
-  // Replied to once, perhaps before the call returns.
+  // Calls `on_found` exactly once, possibly before this function returns.
   void find(const std::string& job, Purpose purpose, const JobReplyHandler& on_found);
 
  private:
--- a/src/jobs/job_status_reader.h
+++ b/src/jobs/job_status_reader.h
@@ -1,6 +1,7 @@
-// Jobs as the state service knows them, behind a bounded cache of final statuses. One for each
-// node; the handlers of users' requests and the leader's parts call it on the node's loop. `done`
-// is called once, and perhaps before the call returns.
+// Reads the status of jobs from the state service, through a bounded cache of final statuses. Each
+// node has one reader; the handlers of users' requests and the components of the leader call it on
+// the node's event loop. Every function that takes a `done` callback calls it exactly once,
+// possibly before the function returns.
 #pragma once
 
 #include <cstddef>
@@ -22,21 +23,26 @@
   using Source = FinalStatusCache::Source;
   using Done = std::function<void(const JobLookup&)>;
 
+  // `max_cached`: the maximum number of final statuses in the cache.
   JobStatusReader(state::Client& state, std::size_t max_cached)
       : state_(state), cache_(max_cached), reader_(state, cache_) {}
 
-  // The job's final status, if it is in the cache.
+  // Returns the job's final status if it is cached.
   [[nodiscard]] std::optional<wire::JobStatus> final_status(const std::string& job) {
     return cache_.find(job);
   }
-  // Whether it is there, and known to be written.
-  [[nodiscard]] bool written(const std::string& job) const { return cache_.written(job); }
+  // Returns whether the job's final status is cached and known to be in the state service.
+  [[nodiscard]] bool written(const std::string& job) const { return cache_.known_written(job); }
+  // Adds a final status to the cache (see FinalStatusCache::remember).
   void remember(const wire::JobStatus& status, Source source) { cache_.remember(status, source); }
 
-  // For a status query: `unavailable` at once if the state service has nothing left for it.
+  // Reads a job for a user's status query. The result is `unavailable`, without waiting, if the
+  // state service has no capacity left for status queries.
   void query(const std::string& job, const Done& done);
+  // Reads a job for the work of the controllers, whose reads are always admitted and wait for their
+  // turn.
   void read(const std::string& job, const Done& done);
-  // For a job that has probably ended: one request if it has.
+  // Reads a job that has probably ended; if it has, this takes a single request.
   void read_ended(const std::string& job, const Done& done);
 
  private:
--- a/src/jobs/leader_client.cc
+++ b/src/jobs/leader_client.cc
@@ -25,9 +25,9 @@
       cancellation_timeout_(net::ms(settings.heartbeat_interval_s)) {}
 
 std::uint64_t LeaderClient::random_first_number() {
-  constexpr std::uint64_t largest = std::uint64_t{1} << 62;
+  constexpr std::uint64_t max_first_number = std::uint64_t{1} << 62;
   std::random_device device;
-  return std::uniform_int_distribution<std::uint64_t>(1, largest)(device);
+  return std::uniform_int_distribution<std::uint64_t>(1, max_first_number)(device);
 }
 
 void LeaderClient::request_status(const std::string& job, JobReplyHandler on_reply) {
@@ -67,15 +67,15 @@
   peers_.send(leader, request);
 }
 
-// The connection to a node that does not reply in time may be stuck: the next request gets a new
-// one.
+// The connection to a node that does not reply before the timeout may be stuck. It is closed, so
+// that the next request opens a new one.
 void LeaderClient::on_timeout(std::uint64_t number) {
   const auto found = pending_.find(number);
   if (found == pending_.end()) return;
-  const PendingRequest late = std::move(found->second);
+  const PendingRequest timed_out = std::move(found->second);
   pending_.erase(found);
-  peers_.reset(late.node);
-  late.on_reply({});
+  peers_.reset(timed_out.node);
+  timed_out.on_reply({});
 }
 
 void LeaderClient::on_reply(const std::string& from, const rpc::JobReply& reply) {
@@ -85,7 +85,7 @@
   pending_.erase(found);
   runtime_.cancel(answered.timer);
   rpc::JobReply complete = reply;
-  complete.status.id = answered.job;  // replies carry the number of the request alone
+  complete.status.id = answered.job;  // a reply carries the request's number, not the job id
   remember_if_final(complete);
   answered.on_reply(complete);
 }
@@ -94,7 +94,8 @@
   if (reply.lookup != rpc::Lookup::found) return;
   if (reply.status.stage == wire::Stage::done)
     status_reader_.remember(reply.status, JobStatusReader::Source::written);
-  // The leader may have derived a cancellation whose record is not written yet.
+  // The leader may have derived the cancellation from that of a dependency, before the job's own
+  // final status is written.
   if (reply.status.stage == wire::Stage::cancelled)
     status_reader_.remember(reply.status, JobStatusReader::Source::derived);
 }
--- a/src/jobs/leader_client.h
+++ b/src/jobs/leader_client.h
@@ -1,5 +1,6 @@
-// Requests to the leader, be it this node or another: owns those that wait for another node's
-// reply, with their timeouts. Used on this node's loop, by whatever answers users.
+// Sends requests about jobs to the leader, which may be this node or another one. It owns the
+// requests that wait for another node's reply, and their timeouts. The handlers of users' requests
+// call it on this node's event loop.
 #pragma once
 
 #include <cstdint>
@@ -24,14 +25,17 @@
                JobStatusReader& status_reader, rpc::PeerTransport& peers,
                const config::Settings& settings);
 
-  // Each is replied to once, perhaps before the call returns; with `unavailable` if no leader is
-  // known, too many requests are waiting, or the leader has not replied in time.
+  // Each of these calls `on_reply` exactly once, possibly before it returns. The reply is
+  // `unavailable` if no leader is known, if too many requests are pending, if the leader can't
+  // answer, or if it does not reply before the timeout.
   void request_status(const std::string& job, JobReplyHandler on_reply);
   void request_cancellation(const std::string& job, JobReplyHandler on_reply);
-  // Asks another node to write the job's record in our place.
+  // Asks the leader to write the job's record in place of this node. It must not be called while
+  // this node leads.
   void request_acceptance(const std::string& job, std::string record, JobReplyHandler on_reply);
 
-  // A node has replied. Dropped unless that node was asked, and in time.
+  // Handles a reply from another node. Ignores it unless the request with its number was sent to
+  // that node and is still pending.
   void on_reply(const std::string& from, const rpc::JobReply& reply);
 
  private:
@@ -54,8 +58,8 @@
   rpc::PeerTransport& peers_;
   net::Ms timeout_;
   net::Ms cancellation_timeout_;
-  // Not from 1: a late reply to a request of this node before its restart must match no request of
-  // now.
+  // Starts at a random number rather than at 1: a late reply to a request that this node sent
+  // before it restarted must not match a request sent after the restart.
   std::uint64_t next_number_ = random_first_number();
   std::map<std::uint64_t, PendingRequest> pending_;
 };
--- a/src/jobs/peer_message_handler.cc
+++ b/src/jobs/peer_message_handler.cc
@@ -59,7 +59,7 @@
 void PeerMessageHandler::receive(const std::string& from,
                                  const rpc::LeaderAnnouncement& announcement) {
   election_.on_leader_announced(from, announcement.epoch);
-  if (announcement.round == 0) return;  // the leader does not wait for a confirmation
+  if (announcement.round == 0) return;  // the sender requests no confirmation
   peers_.send(from, rpc::EpochConfirmation{announcement.round, election_.highest_known_epoch(),
                                            election_.up()});
 }
--- a/src/jobs/peer_message_handler.h
+++ b/src/jobs/peer_message_handler.h
@@ -1,5 +1,8 @@
-// Handles what the other controllers send to this one: hands each kind of message to the part that
-// it is meant for, and replies. Owns no state; the peer transport calls it on this node's loop.
+// Handles the messages that other controllers send to this one: it passes each kind of message to
+// the component that handles it, and sends the replies. A node that does not lead ignores
+// JobAccepted messages and answers each JobRequest with `unavailable`; the leader does the same if
+// the record in the message is not JSON. The class owns no state; the peer transport calls it on
+// this node's event loop.
 #pragma once
 
 #include <string>
@@ -15,7 +18,7 @@
 
 class PeerMessageHandler {
  public:
-  // From now on it is what `peers` delivers to.
+  // Registers this handler as the receiver of all messages that arrive through `peers`.
   PeerMessageHandler(rpc::PeerTransport& peers, leader::Election& election,
                      leader::LeaderTerm& leader_term, leader::ClusterVersion& cluster,
                      JobAcceptance& acceptance, LeaderClient& leader_client);
--- a/src/jobs/stored_job_reader.cc
+++ b/src/jobs/stored_job_reader.cc
@@ -15,34 +15,35 @@
 
 namespace {
 
-// An unreadable record is no answer, and what depends on the job waits.
-JobUnavailable unreadable(const std::string& key, const std::exception& error) {
+// A record that can't be decoded says nothing about the job's status. The job counts as
+// unavailable, so the jobs that depend on it wait.
+JobUnavailable log_unreadable(const std::string& key, const std::exception& error) {
   spdlog::error("unreadable record {}: {}", key, error.what());
   return {};
 }
 
-StoredJob open_job(state::GetResult result) {
+StoredJob parse_open_job(state::GetResult result) {
   if (result.outcome != Outcome::ok) return JobUnavailable{};
   try {
-    OpenJob open;
-    open.dependencies = wire::job_from(result.item.value.at("job")).dependencies;
-    open.record = std::move(result.item);
-    return open;
-  } catch (const std::exception& error) {  // wire::Malformed, or the JSON library's own
-    return unreadable(result.item.key, error);
+    OpenJob open_job;
+    open_job.dependencies = wire::job_from(result.item.value.at("job")).dependencies;
+    open_job.record = std::move(result.item);
+    return open_job;
+  } catch (const std::exception& error) {  // wire::Malformed or an exception of the JSON library
+    return log_unreadable(result.item.key, error);
   }
 }
 
 }  // namespace
 
-// `open/` is read before `ends/`: a job moves from the first to the second in one transaction, so
-// in this order one that exists can't be missed in both.
+// Reads `open/` before `ends/`. One transaction deletes a job's open record and writes its final
+// status, so in this order the reads can't miss both records of a job that exists.
 void StoredJobReader::read(const std::string& job, Done done) {
   state_.get(leader::open_key(job),
              [this, job, done = std::move(done)](state::GetResult result) mutable {
                if (result.outcome == Outcome::missing)
                  return read_final_status(job, std::move(done));
-               done(open_job(std::move(result)));
+               done(parse_open_job(std::move(result)));
              });
 }
 
@@ -63,7 +64,7 @@
     ended.status.stage = final_status.stage;
     ended.status.done = final_status.done;
   } catch (const wire::Malformed& error) {
-    return unreadable(result.item.key, error);
+    return log_unreadable(result.item.key, error);
   }
   cache_.remember(ended.status, FinalStatusCache::Source::written);
   return ended;
--- a/src/jobs/stored_job_reader.h
+++ b/src/jobs/stored_job_reader.h
@@ -1,6 +1,6 @@
-// Reads what the state service holds of one job: its open record, or its final status. Owns no
-// state; final statuses that it reads go into the cache. Used by the JobStatusReader and its
-// UpstreamWalk.
+// Reads the record of one job from the state service: its open record or its final status. It owns
+// no state and adds the final statuses that it reads to the cache. The JobStatusReader and its
+// UpstreamWalk use it.
 #pragma once
 
 #include <functional>
@@ -14,17 +14,20 @@
 
 namespace seampass::jobs {
 
-// A job that was accepted and has no final status of its own.
+// A job that was accepted and has no final status of its own. It counts as cancelled all the same
+// if a job that it depends on is cancelled (see UpstreamWalk).
 struct OpenJob {
   state::Item record;
   std::vector<std::string> dependencies;
 };
+// A job that has a final status.
 struct EndedJob {
   wire::JobStatus status;
 };
-// The store has no record of it: it was never accepted.
+// The state service has no record of the job: it was never accepted.
 struct JobNotFound {};
-// The store did not answer, or its record could not be read: nothing is known of the job.
+// The state service did not answer, or the job's record could not be decoded: the job's status is
+// unknown.
 struct JobUnavailable {};
 
 using StoredJob = std::variant<OpenJob, EndedJob, JobNotFound, JobUnavailable>;
@@ -35,9 +38,10 @@
 
   StoredJobReader(state::Client& state, FinalStatusCache& cache) : state_(state), cache_(cache) {}
 
-  // Reads the open record, and if there is none the final status.
+  // Both functions call `done` exactly once. This one reads the open record and, if there is none,
+  // the final status.
   void read(const std::string& job, Done done);
-  // Reads the final status alone: an open job is not found.
+  // Reads the final status only, so the result for an open job is JobNotFound.
   void read_final_status(const std::string& job, Done done);
 
  private:
--- a/src/jobs/submissions.h
+++ b/src/jobs/submissions.h
@@ -1,5 +1,5 @@
-// Answers POST /api/jobs: validates the job, looks at what it depends on, and has it accepted. Owns
-// no state; the ApiHandler calls it.
+// Answers POST /api/jobs: it validates the job, checks the jobs that it depends on and passes it to
+// JobAcceptance. It owns no state; the ApiHandler calls it.
 #pragma once
 
 #include <string>
@@ -23,17 +23,20 @@
               JobStatusReader& status_reader, JobStatusFinder& finder, JobAcceptance& acceptance,
               const config::Settings& settings);
 
+  // Answers 201 if this request made the job durable, 200 if the job was accepted before, 400 if
+  // the request is malformed, 422 if the job can never run, and 503 if this can't be decided now.
+  // Calls `answer` exactly once, possibly after this function has returned.
   void submit(const net::Request& request, const net::Answer& answer);
 
  private:
-  // What becomes of a job once it is accepted.
-  enum class Fate { runs, cancelled_with_dependency };
+  // The stage in which a newly accepted job begins.
+  enum class InitialStage { queued, cancelled_with_dependency };
 
   void submit(const wire::Job& job, const net::Answer& answer);
   void check_dependencies_and_accept(const wire::Job& job, const wire::Json& record,
                                      const net::Answer& answer);
   void reject(const std::string& job, const std::string& reason, const net::Answer& answer);
-  void accept(const std::string& job, const wire::Json& record, Fate fate,
+  void accept(const std::string& job, const wire::Json& record, InitialStage initial_stage,
               const net::Answer& answer);
 
   net::Runtime& runtime_;
@@ -43,7 +46,7 @@
   JobStatusFinder& finder_;
   JobAcceptance& acceptance_;
   JobAdmission admission_;
-  net::Ms max_backlog_;
+  net::Ms max_backlog_;  // the maximum wait for a turn at the state service
 };
 
 }  // namespace seampass::jobs
--- a/src/jobs/upstream_walk.h
+++ b/src/jobs/upstream_walk.h
@@ -1,5 +1,6 @@
-// Finds out whether an open job counts as cancelled: walks its chain of dependencies upwards, one
-// job at a time. A walk owns itself and lives until it has called `done`, once.
+// Determines whether an open job counts as cancelled: it walks upstream through the job's direct
+// and indirect dependencies, one job at a time. Its pending read keeps the walk alive until it has
+// called `done`, exactly once.
 #pragma once
 
 #include <functional>
@@ -19,9 +20,10 @@
  public:
   using Done = std::function<void(const JobLookup&)>;
 
-  // What the reads of a walk are charged to: what the state service has left for status queries,
-  // which may be nothing, or what the work of controllers needs.
-  enum class Budget { queries, work };
+  // The budget that a walk's reads are charged to. `status_queries` is the capacity of the state
+  // service that is left for status queries; it may be used up, and the walk then ends with
+  // `unavailable`. `controller_work` is the controllers' own work, whose reads are always admitted.
+  enum class Budget { status_queries, controller_work };
 
   struct Context {
     state::Client& state;
@@ -29,18 +31,19 @@
     StoredJobReader& reader;
   };
 
-  // The answer is `open` only once every job upstream was seen, and none was cancelled.
-  static void start(const Context& context, const std::string& job, OpenJob open, Budget budget,
+  // Starts a walk for an open job. The result is `ended` if a job upstream is cancelled, `open`
+  // only if every job upstream was checked and none is cancelled, and otherwise `unavailable`.
+  static void start(const Context& context, const std::string& job, OpenJob open_job, Budget budget,
                     Done done);
 
-  // For `start` alone.
-  UpstreamWalk(const Context& context, const std::string& job, OpenJob open, Budget budget,
+  // Called by `start` only; public because std::make_shared needs it.
+  UpstreamWalk(const Context& context, const std::string& job, OpenJob open_job, Budget budget,
                Done done);
 
  private:
-  void add(const std::vector<std::string>& jobs);
+  void enqueue_unseen(const std::vector<std::string>& jobs);
   void run();
-  bool may_read();
+  bool admit_read();
   void on_read(const std::string& job, const StoredJob& stored);
   void finish(Lookup lookup);
 
@@ -48,7 +51,7 @@
   Budget budget_;
   Done done_;
   JobLookup result_;
-  std::vector<std::string> next_;
+  std::vector<std::string> to_visit_;
   std::unordered_set<std::string> seen_;
   int reads_ = 0;
 };
--- a/tests/formats_answers_test.cc
+++ b/tests/formats_answers_test.cc
@@ -1,9 +1,9 @@
-// The answers of a controller over HTTP, as literals: the status, the body, and the time after
-// which to come again (Retry-After).
+// Compares a controller's HTTP answers with literals: the status, the body and Retry-After, the
+// time in seconds after which a client should retry.
 //
-// Users and workers are not upgraded together with the controllers. So a literal here may not be
-// changed along with the program: one that no longer matches means that they get an answer that
-// they don't know.
+// Users and workers are not upgraded together with the controllers, so a literal here must not be
+// changed along with the program. A literal that no longer matches means that users or workers get
+// an answer that they don't understand.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -16,7 +16,8 @@
 namespace seampass::fakes {
 namespace {
 
-// One of three controllers; the others never answer.
+// One controller of a cluster of three, with a simulated state service and cloud. The other two
+// controllers never answer.
 struct LoneNode {
   LoneNode() {
     net.serve("state:1", [this](const net::Request& request, net::Answer answer) {
@@ -26,7 +27,7 @@
       cloud.handle(request, answer);
     });
   }
-  // Starts it and waits until it leads and knows the machine types.
+  // Starts the controller and waits until it leads and knows the machine types.
   void lead() {
     node.start();
     for (int i = 0; i < 300 && !(node.election().holds() && ask("GET", "/up").status == 200); ++i)
@@ -118,8 +119,8 @@
 TEST(Formats, AnswersJobsThatCanNeverRunAsBefore) {
   LoneNode lone;
   lone.lead();
-  const auto expect_refusal = [&](const wire::Job& job, const std::string& why) {
-    expect_response(lone.submit(job), 422, R"({"error":")" + why + "\"}");
+  const auto expect_refusal = [&](const wire::Job& job, const std::string& reason) {
+    expect_response(lone.submit(job), 422, R"({"error":")" + reason + "\"}");
   };
   wire::Job job = single_task();
   job.team = "nobody";
@@ -176,13 +177,14 @@
     R"({"host":"m-000051","addr":"10.9.8.7:9100","barrel":"big","cellar":"a","lent_racks":false,
 "shift":1,"tally":1,"warrant":0,"recall_s":null,"pours":[]})";
 
-// The version of its record in the state service, which is the first thing that is written there.
+// `warrant` is the leader's epoch: the version of the record `leader` in the state service. It is 1
+// because that record is the first one written there.
 TEST(Formats, AnswersHeartbeatsAsBeforeWhenItLeads) {
   LoneNode lone;
   lone.lead();
 
   expect_response(lone.ask("POST", "/checkin", kHeartbeat), 200, R"({"orders":[],"warrant":1})");
-  expect_response(lone.ask("POST", "/checkin", kHeartbeat), 503, "{}");  // a copy
+  expect_response(lone.ask("POST", "/checkin", kHeartbeat), 503, "{}");  // a duplicate
 }
 
 TEST(Formats, AnswersHeartbeatsAsBeforeWhenAnotherLeads) {
@@ -195,8 +197,8 @@
   expect_response(lone.ask("POST", "/checkin", kHeartbeat), 421, R"({"steward":"n2"})");
 }
 
-// On the first port that is free.
-std::string listen_somewhere(net::HttpServer& server) {
+// Makes the server listen on the first free port and returns its endpoint.
+std::string listen_on_free_port(net::HttpServer& server) {
   for (int port = 23000;; ++port) {
     std::string endpoint = "127.0.0.1:" + std::to_string(port);
     try {
@@ -208,17 +210,18 @@
   }
 }
 
-// All that comes back for this request until the server ends the connection, or for five seconds.
+// Sends the request and returns all bytes that arrive until the server closes the connection, at
+// most five seconds later.
 std::string exchange(net::Loop& loop, const std::string& endpoint, const std::string& request) {
   const int client = socket(AF_INET, SOCK_STREAM, 0);
   const sockaddr_in address = net::parse_endpoint(endpoint);
   EXPECT_EQ(connect(client, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
   EXPECT_EQ(send(client, request.data(), request.size(), 0), static_cast<ssize_t>(request.size()));
-  bool over = false;
-  loop.after(5000, [&over] { over = true; });
+  bool timed_out = false;
+  loop.after(5000, [&timed_out] { timed_out = true; });
   std::string received;
   char buffer[1024];
-  for (ssize_t size = -1; size != 0 && !over;) {
+  for (ssize_t size = -1; size != 0 && !timed_out;) {
     uv_run(loop.raw(), UV_RUN_NOWAIT);
     size = recv(client, buffer, sizeof buffer, MSG_DONTWAIT);
     if (size > 0) received.append(buffer, static_cast<std::size_t>(size));
@@ -227,12 +230,12 @@
   return received;
 }
 
-// What a server that gives this answer sends, byte by byte.
+// Returns the bytes that an HTTP server sends for this response.
 std::string sent_over_http(const net::Response& response) {
   net::Loop loop;
   net::HttpServer server(loop, {},
                          [&](const net::Request&, const net::Answer& answer) { answer(response); });
-  return exchange(loop, listen_somewhere(server),
+  return exchange(loop, listen_on_free_port(server),
                   "GET /up HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n\r\n");
 }
 
--- a/tests/job_admission_test.cc
+++ b/tests/job_admission_test.cc
@@ -1,4 +1,5 @@
-// Why a job can never run, as its user is told.
+// Tests which jobs JobAdmission rejects because they can never run, and the error text for the
+// user.
 #include "jobs/job_admission.h"
 
 #include <gtest/gtest.h>
@@ -34,19 +35,19 @@
   wire::Json record_ = wire::Json::object();
 };
 
-TEST_F(JobAdmissionTest, TakesWhatFits) { EXPECT_EQ(rejection(), "none"); }
+TEST_F(JobAdmissionTest, AcceptsAJobThatFits) { EXPECT_EQ(rejection(), "none"); }
 
-TEST_F(JobAdmissionTest, RefusesAnUnknownTeam) {
+TEST_F(JobAdmissionTest, RejectsAnUnknownTeam) {
   job_.team = "green";
   EXPECT_EQ(rejection(), "unknown team");
 }
 
-TEST_F(JobAdmissionTest, RefusesADependencyOnItself) {
+TEST_F(JobAdmissionTest, RejectsADependencyOnItself) {
   job_.dependencies = {"wk-2", "wk-1"};
   EXPECT_EQ(rejection(), "it depends on itself");
 }
 
-TEST_F(JobAdmissionTest, RefusesWhatFitsNoAllowedType) {
+TEST_F(JobAdmissionTest, RejectsATaskThatFitsNoAllowedMachineType) {
   job_.gpus = 5;
   EXPECT_EQ(rejection(), "a task fits no allowed machine type");
   job_.gpus = 4;
@@ -54,7 +55,7 @@
   EXPECT_EQ(rejection(), "a task fits no allowed machine type");
 }
 
-TEST_F(JobAdmissionTest, SpreadNeedsTwoZonesUnlessTasksMayRunOneByOne) {
+TEST_F(JobAdmissionTest, SpreadNeedsTwoZonesUnlessTheJobIsAnArray) {
   job_.spread = true;
   job_.zone = "a";
   EXPECT_EQ(rejection(), "none");
@@ -66,15 +67,15 @@
   EXPECT_EQ(rejection(), "its tasks may not be in one zone, and fit no other");
 }
 
-TEST_F(JobAdmissionTest, LimitsBindAllTasksOfAGangAndOneOfAnArray) {
+TEST_F(JobAdmissionTest, QuotaCountsAllTasksOfAGangAndOneTaskOfAnArray) {
   job_.tasks = 3;
   EXPECT_EQ(rejection(), "none");
   job_.kind = wire::JobKind::gang;
   EXPECT_EQ(rejection(), "over the team's limit");
 }
 
-TEST_F(JobAdmissionTest, LeavesATenthOfTheLargestValue) {
-  record_ = std::string(919, 'x');  // 921 bytes as JSON, of 1024
+TEST_F(JobAdmissionTest, RejectsARecordAboveNineTenthsOfTheMaximumValueSize) {
+  record_ = std::string(919, 'x');  // 921 bytes as JSON; the maximum is 0.9 * 1024
   EXPECT_EQ(rejection(), "none");
   record_ = std::string(920, 'x');
   EXPECT_EQ(rejection(), "too large to be stored");
