--- a/tests/fakes/cloud_service.h
+++ b/tests/fakes/cloud_service.h
@@ -1,5 +1,6 @@
-// Our own fake of the cloud, after its published protocol: it rents out one type of machine in two
-// zones.
+// A fake of the cloud provider's HTTP API, written from its published protocol. It rents out one
+// machine type in two zones and runs a fake worker on each machine that is up. SimulatedCluster
+// owns the fake and routes requests to it.
 #pragma once
 
 #include <map>
@@ -13,25 +14,28 @@
 
 class CloudService {
  public:
-  // Workers on its machines report to `nodes`.
+  // Workers on the machines send their heartbeats to `nodes`.
   CloudService(SimNet& net, InvariantChecker& checker, WorkerTiming timing,
                std::vector<std::string> nodes)
       : net_(net), checker_(checker), timing_(timing), nodes_(std::move(nodes)) {}
 
-  // Set by tests.
-  bool down = false;
-  bool refuses_deletion = false;
-  int capacity = 20;  // machines at a time
+  // Tests set these.
+  bool down = false;              // every request is answered with 503
+  bool refuses_deletion = false;  // every request to delete machines is answered with 503
+  int capacity = 20;              // no machine is rented when this many are listed
 
-  // Machines that are up, by name; and how many were rented on request.
+  // The workers of the machines that are up, by machine name.
   std::map<std::string, std::unique_ptr<Worker>> machines;
+  // How many machines were rented through the API in total, and by zone. Machines that a test boots
+  // itself are not counted.
   int rented = 0;
   std::map<std::string, int> rented_by_zone;
 
   void handle(const net::Request& request, const net::Answer& answer);
-  // A machine that is listed at once and up after so long; returns its name.
+  // Adds a machine that is listed immediately and is up after `delay`. Returns its name.
   std::string boot(const MachineSpec& spec, Ms delay);
-  // The machine ends and is back at once, under its name, remembering nothing.
+  // Replaces a machine's worker immediately with a new one under the same name. The new worker has
+  // no state of the old one.
   void restart(const std::string& name);
 
  private:
@@ -49,10 +53,11 @@
   InvariantChecker& checker_;
   WorkerTiming timing_;
   std::vector<std::string> nodes_;
-  int last_number_ = 0;
-  std::map<std::string, Listing> listed_;
-  // The machines that each request was answered with: a repeated request rents nothing more.
-  std::map<std::string, std::vector<std::string>> rented_for_;
+  int last_machine_number_ = 0;
+  std::map<std::string, Listing> listings_;
+  // The machines returned for each request, by request id. Renting is idempotent: a repeated
+  // request returns the same machines and rents no more.
+  std::map<std::string, std::vector<std::string>> machines_by_request_;
 };
 
 }  // namespace seampass::fakes
--- a/tests/fakes/rate_limit.h
+++ b/tests/fakes/rate_limit.h
@@ -1,4 +1,4 @@
-// The rate limit of a simulated service.
+// The rate limit of a simulated service. Times are in milliseconds.
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,16 @@
 
 namespace seampass::fakes {
 
-// A token bucket that holds a second's worth.
+// A token bucket that holds at most the tokens of one second.
 class RateLimit {
  public:
-  // Takes `amount` if it is within `per_second`, of which 0 means no limit.
+  // Returns true if `amount` exceeds the tokens that are available. Otherwise takes `amount` from
+  // the bucket and returns false. The bucket refills with `per_second` tokens per second; 0
+  // means no limit.
   [[nodiscard]] bool exceeded(int per_second, double amount, net::Ms now) {
     if (per_second == 0) return false;
-    const double seconds = static_cast<double>(now - counted_at_) / 1000.0;
-    counted_at_ = now;
+    const double seconds = static_cast<double>(now - refilled_at_) / 1000.0;
+    refilled_at_ = now;
     tokens_ = std::min<double>(per_second, tokens_ + seconds * per_second);
     if (tokens_ < amount) return true;
     tokens_ -= amount;
@@ -23,7 +25,7 @@
 
  private:
   double tokens_ = 0;
-  net::Ms counted_at_ = 0;
+  net::Ms refilled_at_ = 0;
 };
 
 }  // namespace seampass::fakes
--- a/tests/fakes/settings.h
+++ b/tests/fakes/settings.h
@@ -8,10 +8,10 @@
 
 namespace seampass::fakes {
 
-// The nodes that run the service.
+// The names of the nodes that run the service.
 inline constexpr std::array kNodes{"n0", "n1", "n2"};
 
-// What the state service takes now, and what it will take later.
+// The limits of the state service: those in force now, and those announced for later.
 struct StoreLimits {
   config::StateLimits now{100, 40, 8, 10};
   config::StateLimits next = now;
--- a/tests/fakes/sim_net.h
+++ b/tests/fakes/sim_net.h
@@ -1,4 +1,5 @@
-// A simulated network for HTTP requests. The test's rule decides what becomes of each of them.
+// A simulated network for HTTP requests. A rule set by the test decides whether each request is
+// delivered, delayed, lost, repeated or refused. Times are in simulated milliseconds.
 #pragma once
 
 #include <functional>
@@ -15,48 +16,55 @@
 
 namespace seampass::fakes {
 
-// What becomes of one request. The default: it arrives and is answered, each way within some ms.
+// How the network handles one request. By default the request arrives and its answer returns, each
+// after a random latency of 1 to 8 ms.
 struct Delivery {
-  bool refuse = false;                       // the sender is told that it was not sent
-  int status = 0;                            // not 0: answered with this status, and not executed
-  bool lose_answer = false;                  // executed, but its answer never comes
-  bool drop = false;                         // neither it nor any answer arrives
-  std::optional<Ms> delay;                   // arrives after so long, and is answered then
-  std::optional<Ms> late;                    // arrives after so long, and its answer never comes
-  std::optional<Ms> repeat_after;            // arrives once more after so long; that answer is lost
-  std::optional<std::string> replaced_body;  // in place of the answer's
+  bool refuse = false;  // the sender gets the result `not_sent` and the request is not executed
+  int status = 0;       // if not 0, the request is answered with this status and not executed
+  bool lose_answer = false;  // the request is executed, but its answer is lost
+  bool drop = false;         // the request is lost: it is neither executed nor answered
+  std::optional<Ms> delay;   // the request arrives after this time and is then answered
+  std::optional<Ms> late;    // the request arrives after this time, and its answer is lost
+  // The request arrives a second time, this long after it was sent. The second answer is lost.
+  std::optional<Ms> repeat_after;
+  std::optional<std::string> replaced_body;  // the answer gets this body instead of its own
 };
 
 using DeliveryRule = std::function<Delivery(const std::string& from, const net::Call& call)>;
 using PeerRule = std::function<bool(const std::string& from, const std::string& to)>;
 using Service = std::function<void(const net::Request&, net::Answer)>;
 
-// Whether a service takes requests that were sent to the one which had its endpoint before.
+// Whether a newly registered service receives requests that were sent to its endpoint before, for
+// example before a restart. With `survive_restart` they arrive; with `end_with_service` they are
+// lost.
 enum class Connections { survive_restart, end_with_service };
 
-// Endpoints and the requests between them. The random latency of each way comes from the seed.
+// Passes requests to the services registered at endpoints. The seed determines the random latency
+// of each request and of each answer.
 class SimNet {
  public:
   SimNet(SimTime& time, unsigned seed) : time_(time), random_(seed) {}
 
-  // Serves an endpoint in place of whatever served it.
+  // Registers `service` at the endpoint and replaces the service registered there before, if any.
   void serve(const std::string& endpoint, Service service,
              Connections connections = Connections::survive_restart) {
     if (connections == Connections::end_with_service) ++generations_[endpoint];
     services_[endpoint] = std::move(service);
   }
-  // Requests to the endpoint stay without an answer from now on.
+  // From now on, requests that arrive at the endpoint get no answer.
   void stop_serving(const std::string& endpoint) { services_.erase(endpoint); }
   void set_rule(DeliveryRule rule) { rule_ = std::move(rule); }
-  // Which messages between peers pass, by the names of their nodes.
-  void set_peer_rule(PeerRule passes) { peer_rule_ = std::move(passes); }
+  // Sets which messages between peers are delivered, by the names of the sending and the receiving
+  // node. Without a rule, all are delivered.
+  void set_peer_rule(PeerRule is_delivered) { peer_rule_ = std::move(is_delivered); }
   [[nodiscard]] bool passes_between_peers(const std::string& from, const std::string& to) const {
     return !peer_rule_ || peer_rule_(from, to);
   }
   Ms latency() { return 1 + static_cast<Ms>(random_() % 8); }
   SimTime& time() { return time_; }
 
-  // `done` is called once, unless the sender has ended by then (`alive` is false).
+  // Calls `done` exactly once, unless the sender has ended by then (`*alive` is false). Without an
+  // answer before the call's timeout, the result is `unknown`.
   void call(const std::string& from, const std::shared_ptr<bool>& alive, const net::Call& call,
             const net::ReplyFn& done) {
     const Delivery delivery = rule_ ? rule_(from, call) : Delivery{};
@@ -111,7 +119,8 @@
   SimTime& time_;
   std::mt19937 random_;
   std::map<std::string, Service> services_;
-  // How many services with connections of their own each endpoint has had.
+  // How many times each endpoint was registered with Connections::end_with_service. A request is
+  // lost if this number changes between its sending and its arrival.
   std::map<std::string, int> generations_;
   DeliveryRule rule_;
   PeerRule peer_rule_;
--- a/tests/fakes/sim_peers.h
+++ b/tests/fakes/sim_peers.h
@@ -11,13 +11,13 @@
 
 namespace seampass::fakes {
 
-// The transport of one node: enters itself into the registry for as long as it lives, so that a
-// message to a killed node is lost.
+// The peer transport of one node. It is in the registry for as long as it exists, so a message to a
+// killed node is lost.
 class SimPeers : public rpc::PeerTransport {
  public:
   using Registry = std::map<std::string, SimPeers*>;
-  // `production` are the nodes that run the version in production: their messages say no version,
-  // and they read none.
+  // `production` names the nodes that run the version in production. That version neither sends nor
+  // reads a version number, so messages from or to these nodes arrive without one.
   SimPeers(SimNet& net, Registry& registry, std::string self,
            const std::set<std::string>& production)
       : net_(net), registry_(registry), self_(std::move(self)), production_(production) {
@@ -38,7 +38,8 @@
                       });
   }
   void reset(const std::string& /*node*/) override {}
-  // Also for a message that nobody sends now, as a connection that was held up may bring it.
+  // Delivers a message to `node` immediately, with `from` as the sender. Tests also call it with
+  // messages that no node is sending, as a stalled connection may deliver an old message late.
   static void deliver(const Registry& registry, const std::string& from, const std::string& node,
                       const rpc::Message& message, rpc::PeerVersion version = rpc::kOwnVersion) {
     const auto it = registry.find(node);
--- a/tests/fakes/sim_time.h
+++ b/tests/fakes/sim_time.h
@@ -1,5 +1,5 @@
-// Simulated time. Nothing runs but by a timer, and timers run in the order of their due time, then
-// of their creation: a test plays the same on every machine.
+// Simulated time in milliseconds. Code runs only from timers, and timers run in the order of their
+// due time and then of their creation. A test therefore runs identically on every machine.
 #pragma once
 
 #include <algorithm>
@@ -14,30 +14,30 @@
 
 using net::Ms;
 
-// The clock and the timers of a whole simulated deployment. The test alone moves it on.
+// The clock and the timers of a whole simulated deployment. Only the test advances the clock.
 class SimTime : public net::Runtime {
  public:
   [[nodiscard]] Ms now() const override { return now_; }
-  [[nodiscard]] Ms wall() const override { return kWallAtStart + now_; }
+  [[nodiscard]] Ms wall() const override { return kWallClockAtStart + now_; }
   net::TimerId after(Ms delay, std::function<void()> then) override {
     const net::TimerId id = next_timer_++;
     const Ms due = now_ + std::max<Ms>(0, delay);
     queue_.emplace(std::make_pair(due, id), std::move(then));
-    due_[id] = due;
+    due_times_[id] = due;
     return id;
   }
   void cancel(net::TimerId id) override {
-    const auto it = due_.find(id);
-    if (it == due_.end()) return;
+    const auto it = due_times_.find(id);
+    if (it == due_times_.end()) return;
     queue_.erase({it->second, id});
-    due_.erase(it);
+    due_times_.erase(it);
   }
-  // Runs what is due until then, what those timers add included.
+  // Runs all timers that are due until `end`, including those that these timers create.
   void run_until(Ms end) {
     while (!queue_.empty() && queue_.begin()->first.first <= end) {
       auto timer = queue_.extract(queue_.begin());
       now_ = timer.key().first;
-      due_.erase(timer.key().second);
+      due_times_.erase(timer.key().second);
       timer.mapped()();
     }
     now_ = end;
@@ -45,15 +45,16 @@
   void run_for(Ms duration) { run_until(now_ + duration); }
 
  private:
-  static constexpr Ms kWallAtStart = 1'700'000'000'000;
+  static constexpr Ms kWallClockAtStart = 1'700'000'000'000;
 
   Ms now_ = 0;
   net::TimerId next_timer_ = 1;
   std::map<std::pair<Ms, net::TimerId>, std::function<void()>> queue_;
-  std::map<net::TimerId, Ms> due_;
+  std::map<net::TimerId, Ms> due_times_;
 };
 
-// One process's view of time. Its timers do not run once it was killed, that is, destroyed.
+// The clock and timers of one simulated process. Destroying the object kills the process: its
+// remaining timers do not run.
 class Process : public net::Runtime {
  public:
   explicit Process(SimTime& time) : time_(time), alive_(std::make_shared<bool>(true)) {}
@@ -69,10 +70,12 @@
     });
   }
   void cancel(net::TimerId id) override { time_.cancel(id); }
-  // False once the process has ended; shared with what it has under way.
+  // False once the process has ended. The process's pending requests share this flag, so that they
+  // do not call back into an ended process.
   [[nodiscard]] std::shared_ptr<bool> alive() const { return alive_; }
 
-  // An overloaded process: every timer runs so much later than it is due.
+  // Simulates an overloaded process: every timer created from now on runs this much later than
+  // requested.
   Ms lag = 0;
 
  private:
--- a/tests/fakes/state_service.cc
+++ b/tests/fakes/state_service.cc
@@ -1,5 +1,6 @@
-// The protocol's words stand here as literals of messages alone: `ledger_rev` is the store's
-// revision, `stamp` a key's version, `permit` a lease, `log` a list of changes.
+// The state service's protocol has field names of its own, which appear here only in string
+// literals: `ledger_rev` is the store's revision, `stamp` is a key's version, `permit` is the id of
+// a lease, and `log` is a list of changes.
 #include "fakes/state_service.h"
 
 #include <algorithm>
@@ -9,9 +10,9 @@
 namespace seampass::fakes {
 namespace {
 
-constexpr std::string_view kKeys = "/keys/";
-constexpr std::string_view kLeases = "/leases/";
-// A lease is looked at a little after its time.
+constexpr std::string_view kKeysPrefix = "/keys/";
+constexpr std::string_view kLeasesPrefix = "/leases/";
+// The fake checks a lease for expiry this long after its time to live has passed.
 constexpr net::Ms kExpiryDelay = 50;
 
 std::string parameter(const std::string& query, const std::string& name) {
@@ -38,18 +39,19 @@
     ++refused;
     return answer({429, R"({"error":"too many requests"})", 0});
   }
-  const auto query_at = request.path.find('?');
-  const std::string path = request.path.substr(0, query_at);
-  const std::string query = query_at == std::string::npos ? "" : request.path.substr(query_at + 1);
+  const auto query_start = request.path.find('?');
+  const std::string path = request.path.substr(0, query_start);
+  const std::string query =
+      query_start == std::string::npos ? "" : request.path.substr(query_start + 1);
   if (path == "/watch") return watch(query, std::move(answer));
-  if (down) return answer({503, R"({"error":"trouble"})", 0});
+  if (down) return answer({503, R"({"error":"service unavailable"})", 0});
   if (path == "/txn") return answer(execute(wire::Json::parse(request.body)));
   if (path == "/keys") return answer(list(query));
-  if (path.starts_with(kKeys)) return answer(read(path.substr(kKeys.size())));
+  if (path.starts_with(kKeysPrefix)) return answer(read(path.substr(kKeysPrefix.size())));
   if (path == "/leases")
     return answer(grant_lease(wire::Json::parse(request.body).at("ttl_ms").get<net::Ms>()));
-  if (path.starts_with(kLeases))
-    return answer(renew_or_revoke(request.method, std::stoull(path.substr(kLeases.size()))));
+  if (path.starts_with(kLeasesPrefix))
+    return answer(renew_or_revoke(request.method, std::stoull(path.substr(kLeasesPrefix.size()))));
   answer({400, "{}", 0});
 }
 
@@ -93,23 +95,24 @@
 net::Response StateService::list(const std::string& query) const {
   const std::string prefix = parameter(query, "under");
   const std::string after = parameter(query, "since");
-  const std::size_t page = std::stoul(parameter(query, "most"));
+  const std::size_t page_size = std::stoul(parameter(query, "most"));
   wire::Json rows = wire::Json::array();
-  bool more = false;
+  bool has_next = false;
   for (auto it = after.empty() ? keys_.lower_bound(prefix) : keys_.upper_bound(after);
        it != keys_.end() && it->first.starts_with(prefix); ++it) {
-    if (rows.size() == page) {
-      more = true;
+    if (rows.size() == page_size) {
+      has_next = true;
       break;
     }
     rows.push_back(row(it->first, it->second));
   }
-  return {200, wire::Json{{"rows", rows}, {"has_next", more}, {"ledger_rev", revision_}}.dump(), 0};
+  return {200, wire::Json{{"rows", rows}, {"has_next", has_next}, {"ledger_rev", revision_}}.dump(),
+          0};
 }
 
 net::Response StateService::execute(const wire::Json& transaction) {
   const wire::Json& changes = transaction.at("apply");
-  if (outsized(changes)) {
+  if (exceeds_size_limits(changes)) {
     ++too_large;
     return {400, R"({"error":"too large"})", 0};
   }
@@ -117,8 +120,8 @@
     ++refused;
     return {429, R"({"error":"too many changes"})", 0};
   }
-  if (names_expired_lease(changes)) return {400, R"({"error":"no such lease"})", 0};
-  const wire::Json failed = unmet(transaction.at("if"));
+  if (uses_expired_lease(changes)) return {400, R"({"error":"no such lease"})", 0};
+  const wire::Json failed = failed_conditions(transaction.at("if"));
   if (!failed.empty())
     return {409, wire::Json{{"failed", failed}, {"ledger_rev", revision_}}.dump(), 0};
   ++revision_;
@@ -134,7 +137,7 @@
   return done;
 }
 
-bool StateService::outsized(const wire::Json& changes) const {
+bool StateService::exceeds_size_limits(const wire::Json& changes) const {
   if (txn_ops != 0 && changes.size() > txn_ops) return true;
   return value_bytes != 0 &&
          std::any_of(changes.begin(), changes.end(), [this](const auto& change) {
@@ -142,13 +145,13 @@
          });
 }
 
-bool StateService::names_expired_lease(const wire::Json& changes) const {
+bool StateService::uses_expired_lease(const wire::Json& changes) const {
   return std::any_of(changes.begin(), changes.end(), [this](const auto& change) {
     return change.contains("permit") && !leases_.contains(lease_of(change));
   });
 }
 
-wire::Json StateService::unmet(const wire::Json& conditions) const {
+wire::Json StateService::failed_conditions(const wire::Json& conditions) const {
   wire::Json failed = wire::Json::array();
   for (const auto& condition : conditions) {
     const auto it = keys_.find(condition.at("path"));
@@ -169,7 +172,7 @@
 }
 
 net::Response StateService::grant_lease(net::Ms ttl) {
-  const std::uint64_t id = ++last_lease_;
+  const std::uint64_t id = ++last_lease_id_;
   extend(leases_[id] = {ttl, 0});
   return {200, wire::Json{{"permit", id}}.dump(), 0};
 }
@@ -185,7 +188,7 @@
 }
 
 void StateService::extend(Lease& lease) {
-  lease.until = time_.now() + lease.ttl;
+  lease.expires_at = time_.now() + lease.ttl;
   time_.after(lease.ttl + kExpiryDelay, [this] { expire_leases(); });
 }
 
@@ -204,24 +207,24 @@
   if (down) return;
   std::vector<std::uint64_t> expired;
   for (const auto& [id, lease] : leases_)
-    if (time_.now() > lease.until) expired.push_back(id);
+    if (time_.now() > lease.expires_at) expired.push_back(id);
   for (const auto id : expired) end_lease(id);
 }
 
 void StateService::watch(const std::string& query, net::Answer answer) {
-  const std::uint64_t id = ++last_watch_;
+  const std::uint64_t id = ++last_watch_id_;
   watchers_[id] = {parameter(query, "under"), std::stoull(parameter(query, "since")),
                    std::move(answer)};
   const net::Ms wait = std::stoll(parameter(query, "block_ms"));
-  time_.after(wait, [this, id] { answer_watch(id, Wait::is_over); });
-  answer_watch(id, Wait::goes_on);
+  time_.after(wait, [this, id] { answer_watch(id, Wait::timed_out); });
+  answer_watch(id, Wait::pending);
 }
 
 void StateService::notify_watchers() {
   if (down) return;
   std::vector<std::uint64_t> ids;
   for (const auto& [id, watcher] : watchers_) ids.push_back(id);
-  for (const auto id : ids) answer_watch(id, Wait::goes_on);
+  for (const auto id : ids) answer_watch(id, Wait::pending);
 }
 
 void StateService::answer_watch(std::uint64_t id, Wait wait) {
@@ -229,16 +232,18 @@
   if (it == watchers_.end() || down) return;
   const Watcher& watcher = it->second;
   const std::uint64_t oldest = changes_.empty() ? revision_ + 1 : changes_.front().version;
-  if (watcher.since + 1 < oldest && watcher.since < revision_) return reply(it, {410, "{}", 0});
+  if (watcher.last_seen_version + 1 < oldest && watcher.last_seen_version < revision_)
+    return reply(it, {410, "{}", 0});
   const wire::Json events = events_for(watcher);
-  if (events.empty() && wait == Wait::goes_on) return;
+  if (events.empty() && wait == Wait::pending) return;
   reply(it, {200, wire::Json{{"ledger_rev", revision_}, {"log", events}}.dump(), 0});
 }
 
 wire::Json StateService::events_for(const Watcher& watcher) const {
   wire::Json events = wire::Json::array();
   for (const Change& change : changes_) {
-    if (change.version <= watcher.since || !change.key.starts_with(watcher.prefix)) continue;
+    if (change.version <= watcher.last_seen_version || !change.key.starts_with(watcher.prefix))
+      continue;
     if (change.value)
       events.push_back({{"write", change.key}, {"v", *change.value}, {"stamp", change.version}});
     else
@@ -248,7 +253,8 @@
 }
 
 void StateService::reply(Watchers::iterator watcher, const net::Response& response) {
-  // The watcher goes first: its answer may bring the next request at once.
+  // The watcher is removed before it is answered, because the answer may immediately cause the next
+  // request.
   const net::Answer answer = std::move(watcher->second.answer);
   watchers_.erase(watcher);
   answer(response);
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -1,7 +1,8 @@
-// The protocol's words stand here as literals of messages alone: `pour` is a task, `try` an
-// attempt, `shift` the incarnation, `tally` the heartbeat's sequence number, `warrant` the leader's
-// epoch, `orders` the commands with their `verb`, `steward` the leader, `barrel`, `cellar`,
-// `lent_racks` the machine's type, zone and whether it is a spot instance.
+// The workers' protocol has field names of its own, which appear here only in string literals:
+// `pour` is a task, `try` is an attempt, `shift` is the incarnation, `tally` is the heartbeat's
+// sequence number, `warrant` is the leader's epoch, `orders` are the commands, `verb` is a
+// command's kind, and `steward` is the leader. `barrel` and `cellar` are the machine's type and
+// zone, and `lent_racks` is true for a spot instance.
 #include "fakes/worker.h"
 
 #include <algorithm>
@@ -40,7 +41,7 @@
       spec_(std::move(spec)),
       nodes_(std::move(nodes)),
       alive_(std::make_shared<bool>(true)),
-      lease_began_(net.time().now()) {
+      lease_start_(net.time().now()) {
   net_.serve(
       endpoint(),
       [this](const net::Request& request, const net::Answer& answer) { handle(request, answer); },
@@ -85,20 +86,21 @@
 void Worker::send_heartbeat() {
   const Ms sent = now();
   const std::uint64_t incarnation = incarnation_;
-  net_.call(name_, alive_,
-            {nodes_[node_] + ":8080", "POST", "/checkin", heartbeat_body(), kHeartbeatTimeout},
-            [this, sent, incarnation](const net::Reply& reply) {
-              const Ms pause = on_heartbeat_reply(reply, sent, incarnation);
-              after(pause, [this] { send_heartbeat(); });
-            });
+  net_.call(
+      name_, alive_,
+      {nodes_[node_index_] + ":8080", "POST", "/checkin", heartbeat_body(), kHeartbeatTimeout},
+      [this, sent, incarnation](const net::Reply& reply) {
+        const Ms pause = on_heartbeat_reply(reply, sent, incarnation);
+        after(pause, [this] { send_heartbeat(); });
+      });
 }
 
 Ms Worker::on_heartbeat_reply(const net::Reply& reply, Ms sent, std::uint64_t incarnation) {
-  if (hangs()) return kRetryPause;  // by the time that it could be read, it is too late
+  if (hangs()) return kRetryPause;  // counts as lost: the reply is too late once the hang ends
   if (reply.is(200)) {
-    const std::uint64_t before = epoch_;
+    const std::uint64_t previous_epoch = epoch_;
     apply_heartbeat_reply(wire::Json::parse(reply.body), sent, incarnation);
-    return epoch_ > before ? kPauseAfterNewEpoch : timing_.heartbeat_interval;
+    return epoch_ > previous_epoch ? kPauseAfterNewEpoch : timing_.heartbeat_interval;
   }
   if (reply.is(421)) return follow_redirect(reply);
   try_next_node();
@@ -108,11 +110,11 @@
 Ms Worker::follow_redirect(const net::Reply& reply) {
   const std::string leader = wire::Json::parse(reply.body).value("steward", "");
   const auto it = std::find(nodes_.begin(), nodes_.end(), leader);
-  if (it == nodes_.end() || *it == nodes_[node_]) {
+  if (it == nodes_.end() || *it == nodes_[node_index_]) {
     try_next_node();
     return kRetryPause;
   }
-  node_ = static_cast<std::size_t>(it - nodes_.begin());
+  node_index_ = static_cast<std::size_t>(it - nodes_.begin());
   return kPauseAfterRedirect;
 }
 
@@ -120,7 +122,7 @@
   const std::uint64_t epoch = body.value("warrant", std::uint64_t{0});
   if (epoch < epoch_ || epoch == 0 || incarnation != incarnation_) return;
   epoch_ = epoch;
-  lease_began_ = std::max(lease_began_, sent);
+  lease_start_ = std::max(lease_start_, sent);
   execute(body.at("orders"));
 }
 
@@ -156,12 +158,13 @@
 void Worker::start(const TaskKey& key, std::uint64_t attempt) {
   Task& task = tasks_[key];
   task.attempt = attempt;
-  task.run = ++runs_;
-  after(timing_.image_fetch, [this, key, run = task.run] { on_image_fetched(key, run); });
+  task.run_id = ++last_run_id_;
+  after(timing_.image_fetch_time,
+        [this, key, run_id = task.run_id] { on_image_fetched(key, run_id); });
 }
 
-void Worker::on_image_fetched(const TaskKey& key, std::uint64_t run) {
-  Task* task = find(key, run);
+void Worker::on_image_fetched(const TaskKey& key, std::uint64_t run_id) {
+  Task* task = find(key, run_id);
   if (task == nullptr) return;
   task->started = true;
   checker_.task_started(key, name_, now());
@@ -171,34 +174,37 @@
   const wire::Job& spec = checker_.jobs[key.job].spec;
   if (spec.kind == wire::JobKind::gang) {
     task->state = wire::TaskState::waiting;
-    start_gang_once_complete(key, run);
+    start_gang_once_complete(key, run_id);
     return;
   }
   task->state = wire::TaskState::running;
-  if (spec.kind == wire::JobKind::array) finish_after_run_time(key, run, spec);
+  if (spec.kind == wire::JobKind::array) finish_after_run_time(key, run_id, spec);
 }
 
-void Worker::start_gang_once_complete(const TaskKey& key, std::uint64_t run) {
-  Task* task = find(key, run);
+void Worker::start_gang_once_complete(const TaskKey& key, std::uint64_t run_id) {
+  Task* task = find(key, run_id);
   if (task == nullptr) return;
   const wire::Job& spec = checker_.jobs[key.job].spec;
   for (std::uint32_t i = 0; i < spec.tasks; ++i)
     if (!checker_.running_on.contains({key.job, i}))
-      return after(kGangPollInterval, [this, key, run] { start_gang_once_complete(key, run); });
+      return after(kGangPollInterval,
+                   [this, key, run_id] { start_gang_once_complete(key, run_id); });
   task->state = wire::TaskState::running;
-  finish_after_run_time(key, run, spec);
+  finish_after_run_time(key, run_id, spec);
 }
 
-void Worker::finish_after_run_time(const TaskKey& key, std::uint64_t run, const wire::Job& spec) {
-  after(net::ms(spec.estimate_s), [this, key, run] {
-    if (find(key, run) != nullptr) finish(key);
+void Worker::finish_after_run_time(const TaskKey& key, std::uint64_t run_id,
+                                   const wire::Job& spec) {
+  after(net::ms(spec.estimate_s), [this, key, run_id] {
+    if (find(key, run_id) != nullptr) finish(key);
   });
 }
 
 void Worker::finish(const TaskKey& key) {
   const wire::Job& spec = checker_.jobs[key.job].spec;
   if (spec.kind == wire::JobKind::gang && !checker_.finished.contains(key)) {
-    // A gang completes together, or not at all.
+    // All tasks of a gang finish at the same time. If one of them does not run, this task exits
+    // with the cause `peers`.
     for (std::uint32_t i = 0; i < spec.tasks; ++i)
       if (!checker_.running_on.contains({key.job, i})) return exit(key, wire::ExitCause::peers);
     for (std::uint32_t i = 0; i < spec.tasks; ++i) checker_.finished.insert({key.job, i});
@@ -215,11 +221,11 @@
   task.cause = cause;
 }
 
-Worker::Task* Worker::find(const TaskKey& key, std::uint64_t run) {
+Worker::Task* Worker::find(const TaskKey& key, std::uint64_t run_id) {
   const auto it = tasks_.find(key);
-  const bool runs =
-      it != tasks_.end() && it->second.run == run && it->second.state != wire::TaskState::exited;
-  return runs ? &it->second : nullptr;
+  const bool is_running = it != tasks_.end() && it->second.run_id == run_id &&
+                          it->second.state != wire::TaskState::exited;
+  return is_running ? &it->second : nullptr;
 }
 
 void Worker::drop_all_tasks() {
@@ -228,14 +234,15 @@
   tasks_.clear();
 }
 
-// On the simulation's own timer: a machine that hangs may go on within its lease, and not after it.
+// Uses the simulation's timer, which a hang does not delay: the tasks of a worker that hangs may
+// run until its lease expires and must end then.
 void Worker::check_lease_regularly() {
   net_.time().after(kLeaseCheckInterval, [this, alive = alive_] {
     if (!*alive) return;
-    if (now() - lease_began_ > timing_.lease) {
+    if (now() - lease_start_ > timing_.lease) {
       drop_all_tasks();
       ++incarnation_;
-      lease_began_ = now();
+      lease_start_ = now();
     }
     check_lease_regularly();
   });
