--- a/tests/fakes/invariant_checker.h
+++ b/tests/fakes/invariant_checker.h
@@ -1,5 +1,8 @@
-// What must hold in every simulated deployment, whatever fails: checked at each event that a worker
-// or a user sees, independently of what the service says of itself.
+// The invariants that must hold in every simulated deployment, whichever faults a test injects.
+//
+// Fake workers report each start and stop of a task, and simulated users report each answer they
+// receive. The checker uses only these events and never the service's own state, so a fault in the
+// service cannot hide a violation.
 #pragma once
 
 #include <compare>
@@ -28,49 +31,55 @@
   bool spot = false;
 };
 
-// What users asked for a job and were answered, and how it is to behave.
+// What users requested for a job, which answers they received, and how its tasks behave.
 struct JobHistory {
   wire::Job spec;
   bool accepted = false;
-  bool fails_everywhere = false;  // its tasks exit with an error on each machine
+  bool fails_everywhere = false;  // the job's tasks exit with an error on every machine
   bool cancel_requested = false;
-  bool cancelled = false;  // the user was told so
-  Ms cancelled_at = 0;
+  bool cancelled = false;  // a user received the answer that the job is cancelled
+  Ms cancelled_at = 0;     // when the user received that answer
 };
 
-// Shared by all workers of a deployment and its user. A violation is a line that begins with the
-// name of the invariant; tests end with the list being empty.
+// One checker is shared by all workers and users of a simulated deployment. A violation is a line
+// that begins with the name of the violated invariant. Tests expect an empty list when they end.
+// Times are in simulated milliseconds.
 class InvariantChecker {
  public:
-  Ms cancel_ms = 0;                        // by then no task of a cancelled job runs
-  std::map<std::string, double> gpus_max;  // of teams
+  // Maximum time that tasks of a job may run after a user received the answer that it is cancelled.
+  Ms cancel_ms = 0;
+  std::map<std::string, double> gpus_max;  // GPU quota by team
   std::map<std::string, MachineSpec> machines;
   std::map<std::string, JobHistory> jobs;
 
-  std::map<TaskKey, std::string> running_on;  // the machine that runs the task now
-  std::map<TaskKey, int> starts;
+  std::map<TaskKey, std::string> running_on;  // the machine that currently runs each task
+  std::map<TaskKey, int> starts;              // how many times each task was started
   std::set<TaskKey> finished;
   std::vector<std::string> violations;
 
   void task_started(const TaskKey& task, const std::string& machine, Ms now);
   void task_stopped(const TaskKey& task, const std::string& machine, Ms now);
-  // Every now and then: also of tasks that neither start nor stop.
+  // Reports tasks of cancelled jobs that still run after `cancel_ms`. The simulation calls it at
+  // regular intervals, because a task that neither starts nor stops causes no other event.
   void check_deadlines(Ms now);
-  // What a user was answered about a job; `stage` is empty if the answer says none.
+  // Checks an answer that a user received about a job. `stage` is empty if the answer contains
+  // none.
   void job_answered(const std::string& id, int status, const std::string& stage, Ms now = 0);
-  // Since when the job is cancelled, itself or by one that it depends on.
+  // When the job was cancelled, either itself or through a job that it depends on. The earliest
+  // such time counts. Empty if none of them is cancelled.
   [[nodiscard]] std::optional<Ms> cancelled_since(const std::string& id) const;
 
  private:
-  // The job, and those that it depends on, directly or through others.
-  [[nodiscard]] std::vector<const JobHistory*> with_upstream(const std::string& id) const;
+  // The job and all jobs that it depends on, directly or indirectly.
+  [[nodiscard]] std::vector<const JobHistory*> with_dependencies(const std::string& id) const;
   [[nodiscard]] bool cancel_requested(const std::string& id) const;
   void check_dependencies(const std::string& id);
-  void check_place(const TaskKey& task, const std::string& machine);
+  void check_placement(const TaskKey& task, const std::string& machine);
   void check_quota(const std::string& team);
   void check_cancelled(const TaskKey& task, Ms now);
 
-  std::map<std::string, std::string> final_stages_;  // as answered, by job
+  // The final stage that users received in an answer, by job.
+  std::map<std::string, std::string> final_stages_;
 };
 
 }  // namespace seampass::fakes
--- a/tests/fakes/jobs.h
+++ b/tests/fakes/jobs.h
@@ -1,4 +1,4 @@
-// Jobs as tests submit them.
+// Builds the jobs that tests submit. Run times are in seconds.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace seampass::fakes {
 
-// Of independent tasks, of which a machine of the fake cloud holds two.
+// A job of independent tasks. Two of them fit on one machine of the fake cloud.
 inline wire::Job array_job(const std::string& id, std::uint32_t tasks, double run_s = 5) {
   wire::Job job;
   job.id = id;
@@ -24,7 +24,7 @@
   return job;
 }
 
-// Of tasks that run together in one zone, each with a machine's processors to itself.
+// A gang: all its tasks run at the same time, in one zone. Each task uses all CPUs of one machine.
 inline wire::Job gang_job(const std::string& id, std::uint32_t tasks, double run_s = 5) {
   wire::Job job = array_job(id, tasks, run_s);
   job.kind = wire::JobKind::gang;
--- a/tests/fakes/randomized_cluster.h
+++ b/tests/fakes/randomized_cluster.h
@@ -1,5 +1,6 @@
-// The base of tests that play many days of random faults, each from its seed. A seed's sequence of
-// draws is part of the test: one more or less plays another day.
+// The base class of tests that run many simulations with random faults, each from its own seed. The
+// sequence of random draws is part of such a test: one draw more or less changes every later fault
+// of that seed, so the test then covers a different simulation.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,13 +21,13 @@
   RandomizedCluster(int machines, unsigned random_seed)
       : cluster_(GetParam(), machines), random_(random_seed) {}
 
-  // A number below `bound`.
+  // A random number from 0 to `bound` - 1.
   unsigned pick(unsigned bound) { return static_cast<unsigned>(random_() % bound); }
   Ms pick_ms(unsigned bound) { return static_cast<Ms>(pick(bound)); }
   std::string pick_node() { return "n" + std::to_string(pick(3)); }
-  // Of the jobs that were accepted; there must be one.
+  // A random accepted job. At least one job must have been accepted.
   std::string pick_job() { return accepted_[pick(static_cast<unsigned>(accepted_.size()))]; }
-  // Of the machines that are up; there must be one.
+  // A random machine that is up. At least one machine must be up.
   std::string pick_machine() {
     auto machine = cluster_.cloud.machines.begin();
     const auto count = static_cast<unsigned>(cluster_.cloud.machines.size());
@@ -59,8 +60,8 @@
   }
 
   SimulatedCluster cluster_;
-  std::vector<std::string> accepted_;  // ids of jobs
-  std::set<std::string> killed_;       // nodes
+  std::vector<std::string> accepted_;  // ids of the accepted jobs
+  std::set<std::string> killed_;       // names of the nodes that are currently killed
 
  private:
   std::mt19937 random_;
--- a/tests/fakes/rolling_upgrade.h
+++ b/tests/fakes/rolling_upgrade.h
@@ -1,5 +1,6 @@
-// An upgrade while serving: the version in production and this one side by side and on each other's
-// data. In simulated time, against our own stand-ins.
+// The base class of tests of a rolling upgrade: the version in production and the new version run
+// side by side and read each other's records. The tests run in simulated time against our own fakes
+// of the state service, the cloud and the workers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,12 +13,14 @@
 
 namespace seampass::fakes {
 
-// Limits of the state service that fall once all controllers are new: with records as production
-// writes them, and with larger ones.
+// The current limits of the state service, followed by the lower limits that apply once all
+// controllers run the new version. With kFalling the current limits are those under which
+// production writes its records; with kLargeRecords they allow larger records.
 inline const StoreLimits kFalling{{100, 40, 8, 10}, {100, 28, 2, 4}};
 inline const StoreLimits kLargeRecords{{100, 40, 32, 12}, {100, 28, 2, 4}};
 
-// Without accelerators, so that many tasks run at a time within the team's limit.
+// An array job whose tasks use no GPU, so that the team's GPU quota does not bound how many of them
+// run at the same time.
 inline wire::Job wide_job(const std::string& id, std::uint32_t tasks, double run_s) {
   wire::Job job = array_job(id, tasks, run_s);
   job.cpus = 1;
@@ -28,15 +31,18 @@
 
 class RollingUpgrade : public ::testing::Test {
  protected:
-  // An array of `tasks` has been at work for so long.
-  static bool begin_array(SimulatedCluster& w, std::uint32_t tasks, Ms at_work) {
+  // Submits an array job of `tasks` tasks as wk-1, waits until it runs, and then runs the
+  // simulation for another `run_time`. Returns false if no node leads or the job does not run
+  // in time.
+  static bool begin_array(SimulatedCluster& w, std::uint32_t tasks, Ms run_time) {
     if (!w.wait_for_leader()) return false;
     w.submit("n0", wide_job("wk-1", tasks, 25));
     const bool running = w.reaches("wk-1", "running", 30000);
-    w.time.run_for(at_work);
+    w.time.run_for(run_time);
     return running;
   }
-  // What production left, on machines that are listed and that nobody hears.
+  // Writes the records that production leaves behind. The machines in them are still listed by the
+  // cloud but send no heartbeats.
   static void leave_production_records(SimulatedCluster& w) {
     w.time.run_for(20);
     w.cloud.machines.clear();
@@ -44,20 +50,25 @@
     w.checker.jobs["wk-1"].spec = array_job("wk-1", 140, 9);
     w.checker.jobs["wk-2"].spec = gang_job("wk-2", 3, 10);
   }
+  // Writes the key `cluster` with the contents that it has once task records use the segment
+  // layout.
   static void leave_segments_in_use(SimulatedCluster& w) {
     w.put("cluster", {{"version", 1}, {"segment_tasks", 42}, {"chunk_tasks", 128}});
   }
+  // How many task records have the segment layout.
   static int segments(const SimulatedCluster& w) {
     return static_cast<int>(w.state.count("work/") - chunks(w));
   }
+  // How many task records have the chunk layout. The last part of a chunk's key begins with a
+  // digit, that of a segment's key with `s`.
   static int chunks(const SimulatedCluster& w) {
-    int n = 0;
-    const std::string all = w.state.dump("work/");
-    for (std::size_t at = 0; (at = all.find("work/", at)) != std::string::npos; ++at) {
-      const auto slash = all.find('/', at + 5);
-      n += std::isdigit(static_cast<unsigned char>(all[slash + 1])) != 0 ? 1 : 0;
+    int count = 0;
+    const std::string records = w.state.dump("work/");
+    for (std::size_t at = 0; (at = records.find("work/", at)) != std::string::npos; ++at) {
+      const auto slash = records.find('/', at + 5);
+      count += std::isdigit(static_cast<unsigned char>(records[slash + 1])) != 0 ? 1 : 0;
     }
-    return n;
+    return count;
   }
 };
 
--- a/tests/fakes/simulated_cluster.cc
+++ b/tests/fakes/simulated_cluster.cc
@@ -61,13 +61,13 @@
 }
 
 void SimulatedCluster::start(const std::string& node) {
-  auto& slot = nodes_[node];
-  slot.reset();
-  slot = std::make_unique<SimNode>(*this, node);
+  auto& sim_node = nodes_[node];
+  sim_node.reset();
+  sim_node = std::make_unique<SimNode>(*this, node);
   net.serve(node + ":8080", [this, node](const net::Request& request, net::Answer answer) {
     if (runs(node)) nodes_.at(node)->node.handle(request, std::move(answer));
   });
-  slot->node.start();
+  sim_node->node.start();
 }
 
 void SimulatedCluster::start_all() {
@@ -117,8 +117,8 @@
 }
 
 bool SimulatedCluster::wait_for_leader() {
-  constexpr int attempts = 300;
-  for (int i = 0; i < attempts; ++i) {
+  constexpr int max_tries = 300;
+  for (int i = 0; i < max_tries; ++i) {
     if (!leader().empty() && request(leader(), "GET", "/up").status == 200) break;
     time.run_for(100);
   }
@@ -163,15 +163,16 @@
 
 const std::vector<net::Call>& SimulatedCluster::record_calls(const char* path) {
   net.set_rule([this, path](const std::string&, const net::Call& call) {
-    if (call.path == path) recorded_.push_back(call);
+    if (call.path == path) recorded_calls_.push_back(call);
     return Delivery{};
   });
-  return recorded_;
+  return recorded_calls_;
 }
 
 void SimulatedCluster::resend(const std::vector<net::Call>& calls) {
   const auto alive = std::make_shared<bool>(true);
-  // A copy: what is sent again is recorded as well.
+  // The loop iterates over a copy of the list: `calls` may be the list of recorded calls, to which
+  // each call that is sent again is added.
   for (const net::Call& call : std::vector<net::Call>(calls))
     net.call("copy", alive, call, [](const net::Reply&) {});
 }
--- a/tests/fakes/simulated_cluster.h
+++ b/tests/fakes/simulated_cluster.h
@@ -1,5 +1,6 @@
 // A whole deployment in simulated time: three nodes of the service, the state service, the cloud
-// and its workers, and a user who remembers each answer.
+// with its workers, and users. Tests own it. Every answer that a user receives and every task that
+// a worker starts or stops is passed to the invariant checker. Times are in simulated milliseconds.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
 
 namespace seampass::fakes {
 
-// An answer to a user. Status 0: none came.
+// An answer to a user. `status` is 0 if no answer arrived within the user's timeout.
 struct JobAnswer {
   int status = 0;
   wire::Json body;
@@ -33,84 +34,95 @@
   [[nodiscard]] bool accepted() const { return status == 200 || status == 201; }
 };
 
-// The test plays the part of time: a call that waits for an answer or a state runs the simulation
-// on until then. LOG_LEVEL=debug in the environment shows what the nodes log.
+// Simulated time advances only while the test calls this class or `time`: a call that waits for an
+// answer or a state runs the simulation until then. With LOG_LEVEL=debug in the environment, the
+// nodes' log lines are printed.
 class SimulatedCluster {
  public:
-  // `production` are the nodes that run the version in production to begin with.
+  // `production` names the nodes that run the version in production until upgrade() is called for
+  // them.
   explicit SimulatedCluster(unsigned seed = 1, int machines = 4, const StoreLimits& limits = {},
                             const std::set<std::string>& production = {});
   ~SimulatedCluster();
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
-  // Nodes.
+  // Control of the nodes.
   void start(const std::string& node);
   void start_all();
   void kill(const std::string& node);
   void kill_all();
-  // The node runs the new version from now on.
+  // Restarts the node with the new version.
   void upgrade(const std::string& node);
-  // Every timer of the node comes so late.
+  // From now on, every timer that the node creates runs `lag` later than requested.
   void slow_down(const std::string& node, Ms lag);
   [[nodiscard]] bool runs(const std::string& node) const;
-  // Empty if none may act.
+  // The name of the node that leads and whose lease still holds; empty if there is none.
   [[nodiscard]] std::string leader() const;
   [[nodiscard]] int leader_count() const;
-  // Some node that runs and does not lead; empty if there is none.
+  // The name of a node that runs and does not lead; empty if there is none.
   [[nodiscard]] std::string follower() const;
-  // Until a node leads and says that it is ready; false if none does within half a minute.
+  // Waits until a node leads and answers 200 to /up. Gives up after 300 tries, 100 ms apart.
+  // Returns whether a node leads at the end.
   [[nodiscard]] bool wait_for_leader();
-  // Until a node leads, however long it takes.
+  // Waits until a node leads, without a timeout.
   void wait_for_election();
-  // No message between nodes passes.
+  // Drops all messages between nodes from now on.
   void separate_peers();
-  // No message between this node and its peers passes.
+  // Drops all messages between this node and its peers from now on.
   void separate_from_peers(const std::string& node);
-  // All requests and messages pass again.
+  // Removes the rules for requests and for peer messages, so that all are delivered again.
   void end_network_faults();
 
-  // The state service.
+  // Limits and records of the state service. From now on it enforces `limits`, except for the rate
+  // of requests.
   void apply_limits(const config::StateLimits& limits);
-  // Writes or deletes a key, as another version of the program did.
+  // Writes or deletes a key unconditionally, as another version of the program may have done.
   void put(const std::string& key, const wire::Json& value);
   void remove(const std::string& key);
 
-  // Users. Every answer is given to the checker.
+  // Requests of users. Every answer about a job is passed to the checker.
   JobAnswer request(const std::string& node, const char* method, const std::string& path,
                     const std::string& body = "");
   JobAnswer submit(const std::string& node, const wire::Job& job);
-  // Again and again, as users do; false if it was not accepted in time.
-  bool submit_until_accepted(const std::string& node, const wire::Job& job, Ms within = 60000);
-  // Submits through n0; false unless the job runs within that time.
-  [[nodiscard]] bool submit_and_run(const wire::Job& job, Ms within = 30000);
+  // Repeats the submission every second, as users do, until it is accepted. Returns false if it was
+  // not accepted within `timeout`.
+  bool submit_until_accepted(const std::string& node, const wire::Job& job, Ms timeout = 60000);
+  // Submits the job through n0. Returns whether it runs within `timeout`.
+  [[nodiscard]] bool submit_and_run(const wire::Job& job, Ms timeout = 30000);
   JobAnswer poll(const std::string& node, const std::string& id);
   JobAnswer cancel(const std::string& node, const std::string& id);
-  // Again and again, as users do, until the answer is final. Each refusal must come at once. Empty
-  // if none was final in time.
-  JobAnswer cancel_until_final(const std::string& node, const std::string& id, Ms within);
-  // Does not wait: the answer counts when it comes.
+  // Repeats the cancellation every second, as users do, until it is answered with 200. Expects
+  // every other answer to be a 503 that arrives within 2 seconds. Returns an answer with status 0
+  // if there was no 200 within `timeout`.
+  JobAnswer cancel_until_final(const std::string& node, const std::string& id, Ms timeout);
+  // Sends the cancellation and returns immediately. The answer is passed to the checker when it
+  // arrives.
   void cancel_without_waiting(const std::string& node, const std::string& id);
-  // Polls through all nodes that run; true once one of them says this stage.
-  [[nodiscard]] bool reaches(const std::string& id, const std::string& stage, Ms within);
+  // Polls all nodes that run until one of them answers with this stage. Returns false if none did
+  // within `timeout`.
+  [[nodiscard]] bool reaches(const std::string& id, const std::string& stage, Ms timeout);
 
-  // Tasks of a job: on a machine now; not finished; not finished, and on no machine now.
+  // How many tasks of a job currently run on a machine.
   [[nodiscard]] int running_tasks(const std::string& id) const;
+  // How many tasks of a job have not finished.
   [[nodiscard]] int unfinished_tasks(const std::string& id) const;
+  // How many tasks of a job have not finished and run on no machine.
   [[nodiscard]] int unplaced_tasks(const std::string& id) const;
-  // Of all tasks so far, repeated ones included.
+  // How many starts of tasks there were so far, over all jobs. Each repeated start counts.
   [[nodiscard]] int start_count() const;
 
-  // Late and repeated messages.
+  // Delivers a peer message immediately, to simulate late and repeated messages.
   void deliver(const std::string& from, const std::string& node, const rpc::Message& message) {
     SimPeers::deliver(registry_, from, node, message);
   }
-  // The requests with this path that are sent from now on, of which more are added as time goes on.
-  // Takes the place of the network's rule.
+  // Records the requests with this path that are sent from now on. Later requests are added to the
+  // returned list. The recording replaces the network's current rule.
   const std::vector<net::Call>& record_calls(const char* path);
+  // Sends copies of the requests and ignores the answers.
   void resend(const std::vector<net::Call>& calls);
 
-  // No task was started more than once, however it went.
+  // Expects that no task was started more than once, even after a failed attempt.
   void expect_no_task_started_twice() const;
   void expect_no_violations() const;
 
@@ -124,13 +136,13 @@
   struct SimNode;
 
   void check_regularly();
-  JobAnswer note_answer(const std::string& id, const JobAnswer& answer);
+  JobAnswer record_answer(const std::string& id, const JobAnswer& answer);
 
   StoreLimits limits_;
   std::set<std::string> production_;
   SimPeers::Registry registry_;
   std::map<std::string, std::unique_ptr<SimNode>> nodes_;
-  std::vector<net::Call> recorded_;
+  std::vector<net::Call> recorded_calls_;
   std::shared_ptr<bool> user_alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/fakes/simulated_cluster_users.cc
+++ b/tests/fakes/simulated_cluster_users.cc
@@ -1,4 +1,4 @@
-// What the users of a simulated cluster do and see.
+// The user requests of a simulated cluster, and what users can observe of its jobs.
 #include <algorithm>
 
 #include "fakes/simulated_cluster.h"
@@ -14,14 +14,14 @@
                                     const std::string& path, const std::string& body) {
   JobAnswer answer;
   bool answered = false;
-  const auto waits = std::make_shared<bool>(true);
-  net.call("user", waits, {node + ":8080", method, path, body, kUserTimeout},
+  const auto waiting = std::make_shared<bool>(true);
+  net.call("user", waiting, {node + ":8080", method, path, body, kUserTimeout},
            [&](const net::Reply& reply) {
              answered = true;
              answer = {reply.status, wire::Json::parse(reply.body, nullptr, false)};
            });
   for (Ms waited = 0; waited < kUserTimeout + 100 && !answered; ++waited) time.run_for(1);
-  *waits = false;
+  *waiting = false;
   return answer;
 }
 
@@ -36,8 +36,8 @@
 }
 
 bool SimulatedCluster::submit_until_accepted(const std::string& node, const wire::Job& job,
-                                             Ms within) {
-  const Ms end = time.now() + within;
+                                             Ms timeout) {
+  const Ms end = time.now() + timeout;
   while (time.now() < end) {
     if (submit(node, job).accepted()) return true;
     time.run_for(1000);
@@ -45,30 +45,30 @@
   return false;
 }
 
-bool SimulatedCluster::submit_and_run(const wire::Job& job, Ms within) {
+bool SimulatedCluster::submit_and_run(const wire::Job& job, Ms timeout) {
   submit("n0", job);
-  return reaches(job.id, "running", within);
+  return reaches(job.id, "running", timeout);
 }
 
 JobAnswer SimulatedCluster::poll(const std::string& node, const std::string& id) {
-  return note_answer(id, request(node, "GET", "/api/jobs/" + id));
+  return record_answer(id, request(node, "GET", "/api/jobs/" + id));
 }
 
 JobAnswer SimulatedCluster::cancel(const std::string& node, const std::string& id) {
   checker.jobs[id].cancel_requested = true;
-  return note_answer(id, request(node, "POST", "/api/jobs/" + id + "/abort"));
+  return record_answer(id, request(node, "POST", "/api/jobs/" + id + "/abort"));
 }
 
 JobAnswer SimulatedCluster::cancel_until_final(const std::string& node, const std::string& id,
-                                               Ms within) {
-  constexpr Ms at_once = 2000;
-  const Ms end = time.now() + within;
+                                               Ms timeout) {
+  constexpr Ms max_refusal_ms = 2000;
+  const Ms end = time.now() + timeout;
   while (time.now() < end) {
     const Ms before = time.now();
     JobAnswer answer = cancel(node, id);
     if (answer.status == 200) return answer;
     EXPECT_EQ(answer.status, 503);
-    EXPECT_LT(time.now() - before, at_once);
+    EXPECT_LT(time.now() - before, max_refusal_ms);
     time.run_for(1000);
   }
   return {};
@@ -79,12 +79,13 @@
   net.call("user", user_alive_,
            {node + ":8080", "POST", "/api/jobs/" + id + "/abort", "", kUserTimeout},
            [this, id](const net::Reply& reply) {
-             note_answer(id, {reply.status, wire::Json::parse(reply.body, nullptr, false)});
+             record_answer(id, {reply.status, wire::Json::parse(reply.body, nullptr, false)});
            });
 }
 
-// Whoever gave the answer and whatever was asked: its user knows from now on.
-JobAnswer SimulatedCluster::note_answer(const std::string& id, const JobAnswer& answer) {
+// Passes the answer to the checker. The job counts as cancelled from the first answer that says so,
+// whichever node gave it and whichever request it answers.
+JobAnswer SimulatedCluster::record_answer(const std::string& id, const JobAnswer& answer) {
   checker.job_answered(id, answer.status, answer.stage(), time.now());
   if (answer.status == 200 && answer.stage() == "withdrawn" && !checker.jobs[id].cancelled) {
     checker.jobs[id].cancelled = true;
@@ -93,8 +94,8 @@
   return answer;
 }
 
-bool SimulatedCluster::reaches(const std::string& id, const std::string& stage, Ms within) {
-  const Ms end = time.now() + within;
+bool SimulatedCluster::reaches(const std::string& id, const std::string& stage, Ms timeout) {
+  const Ms end = time.now() + timeout;
   while (time.now() < end) {
     for (const char* node : kNodes)
       if (runs(node) && poll(node, id).stage() == stage) return true;
