--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -1,5 +1,5 @@
-// Ordinary operation of the whole service in simulated time, against our own fakes, with a checker
-// of the invariants.
+// Tests of the whole service in normal operation and after single faults. They run in simulated
+// time against our own fakes, and each of them ends with a check of the invariants.
 #include <gtest/gtest.h>
 
 #include "fakes/simulated_cluster.h"
@@ -39,18 +39,20 @@
   job = array_job("wk-1", 1);
   job.cpus = 9;
   EXPECT_EQ(cluster.submit("n0", job).status, 422);
-  EXPECT_EQ(cluster.submit("n0", gang_job("wk-1", 17)).status, 422);  // the team has 16 GPUs
-  // Half of it at most may be in one zone, and no other zone is allowed.
+  EXPECT_EQ(cluster.submit("n0", gang_job("wk-1", 17)).status, 422);  // the team's quota is 16 GPUs
+  // At most half of the tasks of a job with `spread` may run in one zone, so a job that is
+  // restricted to one zone can never run.
   job = gang_job("wk-1", 2);
   job.spread = true;
-  EXPECT_EQ(cluster.submit("n0", job).status, 422);  // by one_zone
+  EXPECT_EQ(cluster.submit("n0", job).status, 422);  // gang_job() sets one_zone
   job.one_zone = false;
   job.zone = "a";
   EXPECT_EQ(cluster.submit("n0", job).status, 422);
   job.zone.reset();
   job.types = {{"small"}};
   EXPECT_EQ(cluster.submit("n0", job).status, 422);
-  // The same without those demands is accepted, and so is an array beyond the limit.
+  // The same gang without these constraints is accepted. An array job of more tasks than the team's
+  // GPU quota allows is accepted too, because its tasks need not run at the same time.
   job.types.reset();
   job.id = "wk-3";
   EXPECT_EQ(cluster.submit("n0", job).status, 201);
@@ -70,13 +72,13 @@
   cluster.expect_no_violations();
 }
 
-TEST(Cluster, RefusesJobsAtOnceWhileTheStoreIsDown) {
+TEST(Cluster, RefusesJobsImmediatelyWhileTheStoreIsDown) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.state.down = true;
   const Ms before = cluster.time.now();
   EXPECT_EQ(cluster.submit("n1", array_job("wk-4", 1)).status, 503);
-  EXPECT_LT(cluster.time.now() - before, 1500);  // not kept until a timeout
+  EXPECT_LT(cluster.time.now() - before, 1500);  // refused without waiting for a timeout
   cluster.expect_no_violations();
 }
 
@@ -93,7 +95,7 @@
   cluster.expect_no_violations();
 }
 
-TEST(Cluster, RestartsTasksOfADeadMachineElsewhere) {
+TEST(Cluster, RestartsTasksOfACrashedMachineOnOtherMachines) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.submit("n0", array_job("wk-1", 6, 30));
@@ -104,7 +106,7 @@
   cluster.expect_no_violations();
 }
 
-TEST(Cluster, RetriesFailedTasksElsewhere) {
+TEST(Cluster, RetriesFailedTasks) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   for (auto& [name, machine] : cluster.cloud.machines)
@@ -116,11 +118,11 @@
   cluster.expect_no_violations();
 }
 
-TEST(Cluster, StartsNoTaskOfAGangBeforeAllFitTheTeamsLimit) {
+TEST(Cluster, StartsNoTaskOfAGangUntilTheWholeGangFitsTheTeamsQuota) {
   SimulatedCluster cluster(1, 8);
   ASSERT_TRUE(cluster.wait_for_leader());
   auto small = array_job("wk-1", 6, 20);
-  small.team = "red";  // 8 GPUs at most
+  small.team = "red";  // the team's quota is 8 GPUs
   cluster.submit("n0", small);
   cluster.time.run_for(3000);
   auto gang = gang_job("wk-2", 4, 5);
@@ -132,7 +134,7 @@
   cluster.expect_no_violations();
 }
 
-TEST(Cluster, PreemptsForAnUrgentGang) {
+TEST(Cluster, PreemptsARunningArrayForAnUrgentGang) {
   SimulatedCluster cluster(1, 2);
   cluster.cloud.capacity = 2;
   ASSERT_TRUE(cluster.wait_for_leader());
@@ -152,7 +154,9 @@
   cluster.expect_no_violations();
 }
 
-// Small gangs come as fast as they end, while two that need most of the zone wait.
+// A new small gang is submitted as often as a small gang ends, while two large gangs wait that need
+// most or all of the zone's machines. Guards against small gangs that take each machine as it
+// becomes free, so that a large gang never starts.
 TEST(Cluster, DoesNotStarveLargeGangsBySmallOnes) {
   SimulatedCluster cluster(1, 0);
   cluster.cloud.capacity = 4;
@@ -162,13 +166,14 @@
   const auto submit_small = [&](double run_s) {
     cluster.submit("n0", gang_job("wk-" + std::to_string(next_id++), 1, run_s));
   };
-  for (int i = 0; i < 4; ++i) submit_small(30 + 10 * i);  // they end one by one
+  for (int i = 0; i < 4; ++i)
+    submit_small(30 + 10 * i);  // the run times differ, so the gangs end one after another
   cluster.time.run_for(3000);
   cluster.submit("n1", gang_job("wk-1", 4, 5));
   cluster.submit("n1", gang_job("wk-2", 3, 5));
   bool done = false;
   for (int i = 0; i < 30 && !done; ++i) {
-    submit_small(40);  // longer than a reservation lasts
+    submit_small(40);  // runs longer than a zone reservation lasts
     cluster.time.run_for(8000);
     done = cluster.poll("n0", "wk-1").stage() == "done" &&
            cluster.poll("n0", "wk-2").stage() == "done";
@@ -177,7 +182,7 @@
   cluster.expect_no_violations();
 }
 
-TEST(Cluster, KeepsRecordsOfLargeArraysWithinTheStoresLimits) {
+TEST(Cluster, KeepsTaskRecordsOfLargeArraysWithinTheStoreLimits) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   EXPECT_EQ(cluster.submit("n0", array_job("wk-1", 100000, 2)).status, 201);
--- a/tests/invariant_checker_test.cc
+++ b/tests/invariant_checker_test.cc
@@ -1,4 +1,5 @@
-// The checker is no part of what it judges: each invariant, violated on purpose, is reported.
+// Each test violates one invariant on purpose and expects the checker to report it. Without these
+// tests a checker that reports nothing would let every simulation pass.
 #include "fakes/invariant_checker.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 namespace seampass::fakes {
 namespace {
 
-// One job of three tasks, two machines in two zones, one of them a spot instance.
+// One job of three tasks, and two machines in two zones. The machine m2 is a spot instance.
 class InvariantCheckerTest : public ::testing::Test {
  protected:
   InvariantCheckerTest() {
@@ -18,7 +19,7 @@
     checker_.jobs["wk-1"].spec = array_job("wk-1", 3);
   }
 
-  // The names of the violations so far.
+  // The names of the violated invariants, separated by spaces.
   [[nodiscard]] std::string violations() const {
     std::string names;
     for (const std::string& line : checker_.violations) {
@@ -28,8 +29,7 @@
     return names;
   }
   wire::Job& spec() { return checker_.jobs["wk-1"].spec; }
-  // One task on each machine.
-  void start_on_both() {
+  void start_one_task_on_each_machine() {
     checker_.task_started({"wk-1", 0}, "m1", 1);
     checker_.task_started({"wk-1", 1}, "m2", 1);
   }
@@ -45,7 +45,7 @@
   InvariantChecker checker_;
 };
 
-TEST_F(InvariantCheckerTest, ReportsNothingIfAllHold) {
+TEST_F(InvariantCheckerTest, ReportsNothingWhenAllInvariantsHold) {
   checker_.task_started({"wk-1", 0}, "m1", 1);
   checker_.task_started({"wk-1", 1}, "m2", 2);
   checker_.jobs["wk-1"].accepted = true;
@@ -56,38 +56,38 @@
   EXPECT_EQ(violations(), "");
 }
 
-TEST_F(InvariantCheckerTest, ReportsATaskThatRunsTwice) {
+TEST_F(InvariantCheckerTest, ReportsATaskThatRunsOnTwoMachinesAtOnce) {
   checker_.task_started({"wk-1", 0}, "m1", 1);
   checker_.task_started({"wk-1", 0}, "m2", 2);
   EXPECT_EQ(violations(), "ran_twice");
 }
 
-TEST_F(InvariantCheckerTest, ReportsATeamAboveItsLimit) {
+TEST_F(InvariantCheckerTest, ReportsATeamAboveItsGpuQuota) {
   for (std::uint32_t i = 0; i < 3; ++i) checker_.task_started({"wk-1", i}, "m1", 1);
   EXPECT_EQ(violations(), "quota");
 }
 
-TEST_F(InvariantCheckerTest, ReportsATaskInAnotherZone) {
+TEST_F(InvariantCheckerTest, ReportsATaskOutsideTheRequiredZone) {
   spec().zone = "a";
-  start_on_both();
+  start_one_task_on_each_machine();
   EXPECT_EQ(violations(), "wrong_place");
 }
 
-TEST_F(InvariantCheckerTest, ReportsAJobOfOneZoneInTwo) {
+TEST_F(InvariantCheckerTest, ReportsASingleZoneJobInTwoZones) {
   spec().one_zone = true;
-  start_on_both();
+  start_one_task_on_each_machine();
   EXPECT_EQ(violations(), "wrong_place");
 }
 
-TEST_F(InvariantCheckerTest, ReportsATaskOnAnUnwantedSpotInstance) {
+TEST_F(InvariantCheckerTest, ReportsATaskOnADisallowedSpotInstance) {
   spec().spot = false;
-  start_on_both();
+  start_one_task_on_each_machine();
   EXPECT_EQ(violations(), "wrong_place");
 }
 
-TEST_F(InvariantCheckerTest, ReportsTasksOnAnotherType) {
+TEST_F(InvariantCheckerTest, ReportsTasksOnADisallowedMachineType) {
   spec().types = {{"small"}};
-  start_on_both();
+  start_one_task_on_each_machine();
   EXPECT_EQ(violations(), "wrong_place wrong_place");
 }
 
@@ -114,18 +114,18 @@
   EXPECT_EQ(violations(), "ran_cancelled");
 }
 
-TEST_F(InvariantCheckerTest, ReportsAForgottenJob) {
+TEST_F(InvariantCheckerTest, ReportsNotFoundForAnAcceptedJob) {
   checker_.jobs["wk-1"].accepted = true;
   checker_.job_answered("wk-1", 404, "");
   EXPECT_EQ(violations(), "forgotten");
 }
 
-TEST_F(InvariantCheckerTest, ReportsAnAnswerAboutAJobThatNobodySubmitted) {
+TEST_F(InvariantCheckerTest, ReportsAnAnswerAboutAJobThatWasNeverSubmitted) {
   checker_.job_answered("wk-9", 200, "queued");
   EXPECT_EQ(violations(), "invented");
 }
 
-TEST_F(InvariantCheckerTest, ReportsDoneBeforeAllTasksAre) {
+TEST_F(InvariantCheckerTest, ReportsDoneBeforeAllTasksFinished) {
   checker_.finished = {{"wk-1", 0}, {"wk-1", 2}};
   checker_.job_answered("wk-1", 200, "done");
   EXPECT_EQ(violations(), "not_done");
@@ -147,12 +147,12 @@
   EXPECT_EQ(violations(), "orphaned");
 }
 
-TEST_F(InvariantCheckerTest, ReportsACancellationThatNobodyRequested) {
+TEST_F(InvariantCheckerTest, ReportsACancellationThatWasNeverRequested) {
   checker_.job_answered("wk-1", 200, "withdrawn");
   EXPECT_EQ(violations(), "cancelled_unasked");
 }
 
-TEST_F(InvariantCheckerTest, ReportsAnOlderStageAfterAFinalOne) {
+TEST_F(InvariantCheckerTest, ReportsAnotherStageAfterAFinalOne) {
   checker_.jobs["wk-1"].cancel_requested = true;
   checker_.job_answered("wk-1", 200, "withdrawn");
   checker_.job_answered("wk-1", 503, "");
--- a/tests/sim_net_test.cc
+++ b/tests/sim_net_test.cc
@@ -1,4 +1,5 @@
-// The simulated network does what a rule says: the tests of faults rest on it.
+// The simulated network handles each request as the delivery rule specifies. All tests that inject
+// network faults depend on this.
 #include "fakes/sim_net.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,8 @@
 
 constexpr Ms kTimeout = 1000;
 
-// One service that counts what it executes and answers with "own"; one request to it.
+// One service that counts the requests it executes and answers with the body "own". Each test sends
+// one request to it.
 class SimNetTest : public ::testing::Test {
  protected:
   SimNetTest() {
@@ -17,7 +19,7 @@
       answer({200, "own", 0});
     });
   }
-  // Sends the request and plays until long after its timeout.
+  // Sends the request and runs the simulation until long after the request's timeout.
   void send(const Delivery& delivery) {
     net_.set_rule([delivery](const std::string&, const net::Call&) { return delivery; });
     net_.call("sender", alive_, {"service:1", "GET", "/", "", kTimeout},
@@ -49,7 +51,7 @@
   EXPECT_EQ(replies_.front().fate, net::Reply::Fate::not_sent);
 }
 
-TEST_F(SimNetTest, DroppedRequestIsUnknownAndNotExecuted) {
+TEST_F(SimNetTest, DroppedRequestIsNotExecutedAndItsOutcomeIsUnknown) {
   Delivery delivery;
   delivery.drop = true;
   send(delivery);
@@ -58,7 +60,7 @@
   EXPECT_EQ(replies_.front().fate, net::Reply::Fate::unknown);
 }
 
-TEST_F(SimNetTest, LateRequestIsExecutedAndUnknown) {
+TEST_F(SimNetTest, RequestThatArrivesAfterItsTimeoutIsExecutedAndItsOutcomeIsUnknown) {
   Delivery delivery;
   delivery.late = 2 * kTimeout;
   send(delivery);
@@ -75,7 +77,7 @@
   EXPECT_EQ(replies_.size(), 1u);
 }
 
-TEST_F(SimNetTest, EndedSenderGetsNoReply) {
+TEST_F(SimNetTest, TerminatedSenderGetsNoReply) {
   *alive_ = false;
   send({});
   EXPECT_EQ(executed_, 1);
