--- a/tests/failover_test.cc
+++ b/tests/failover_test.cc
@@ -1,5 +1,6 @@
-// Changes of the leader: one leader at most, tasks that run are kept, and a leader that is cut off
-// is replaced. In simulated time, against our own fakes, with a checker of the invariants.
+// Tests of failover: at most one node leads, a new leader keeps running tasks, and a leader that is
+// cut off is replaced. The tests run in simulated time against fakes of the state service, the
+// cloud and the workers, and an InvariantChecker verifies the invariants.
 #include <gtest/gtest.h>
 
 #include "fakes/calls.h"
@@ -14,21 +15,21 @@
   cluster.submit("n0", array_job("wk-1", 6, 30));
   cluster.submit("n0", gang_job("wk-2", 1, 30));
   ASSERT_TRUE(cluster.reaches("wk-1", "running", 30000));
-  const std::string first = cluster.leader();
-  cluster.kill(first);
+  const std::string first_leader = cluster.leader();
+  cluster.kill(first_leader);
   cluster.time.run_for(8000);
   EXPECT_NE(cluster.leader(), "");
-  EXPECT_NE(cluster.leader(), first);
+  EXPECT_NE(cluster.leader(), first_leader);
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 90000));
   EXPECT_TRUE(cluster.reaches("wk-2", "done", 90000));
   cluster.expect_no_task_started_twice();
-  cluster.start(first);
+  cluster.start(first_leader);
   cluster.time.run_for(3000);
-  EXPECT_EQ(cluster.poll(first, "wk-1").stage(), "done");
+  EXPECT_EQ(cluster.poll(first_leader, "wk-1").stage(), "done");
   cluster.expect_no_violations();
 }
 
-TEST(Failover, ElectsOneLeaderAtMostWhileNodesRestart) {
+TEST(Failover, ElectsAtMostOneLeaderWhileNodesRestart) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.submit("n0", array_job("wk-1", 8, 20));
@@ -36,7 +37,7 @@
     const std::string leader = cluster.leader();
     if (!leader.empty()) {
       cluster.kill(leader);
-      cluster.time.run_for(37 * round);  // back within a fraction of a second
+      cluster.time.run_for(37 * round);  // the node is back after at most 0.41 s
       cluster.start(leader);
     }
     cluster.time.run_for(300 + 450 * round);
@@ -58,8 +59,9 @@
   cluster.expect_no_violations();
 }
 
-// A record that names no leader ends no process, and once it is gone a leader is elected.
-TEST(Failover, ElectsNobodyWhileTheLeaderRecordIsUnreadable) {
+// A leader record that names no leader must not crash any node. While it exists no node is elected;
+// once it is removed, one is.
+TEST(Failover, ElectsNoLeaderWhileTheLeaderRecordIsUnreadable) {
   for (const char* value : {R"({"node":5})", R"({})", R"("n0")", "null"}) {
     SimulatedCluster cluster;
     cluster.put("leader", wire::Json::parse(value));
@@ -70,57 +72,60 @@
   }
 }
 
-// The leader reaches neither the state service nor its peers, but still hears from its workers. For
-// the time of its lease extension they obey it: a user is not answered before the last task is off.
+// The leader reaches neither the state service nor its peers, but still receives its workers'
+// heartbeats. Until its lease extension ends, it renews their leases and they run its tasks. So the
+// next leader must not answer a cancellation with "withdrawn" before every task of the job is
+// proven absent.
 TEST(Failover, ReplacesAPartitionedLeaderWithoutRunningItsTasksTwice) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 8, 60)));
-  const std::string old = cluster.leader();
-  cluster.net.set_rule([old](const std::string& from, const net::Call& call) {
+  const std::string old_leader = cluster.leader();
+  cluster.net.set_rule([old_leader](const std::string& from, const net::Call& call) {
     Delivery delivery;
-    if (from == old && is_to_store(call)) delivery.late = 60000;
+    if (from == old_leader && is_to_store(call)) delivery.late = 60000;
     return delivery;
   });
-  cluster.separate_from_peers(old);
+  cluster.separate_from_peers(old_leader);
   cluster.time.run_for(9000);
-  const std::string next = cluster.leader();
-  ASSERT_NE(next, "");
-  ASSERT_NE(next, old);
-  cluster.submit(next, array_job("wk-2", 8, 10));
-  EXPECT_EQ(cluster.cancel_until_final(next, "wk-1", 42000).stage(), "withdrawn");
+  const std::string next_leader = cluster.leader();
+  ASSERT_NE(next_leader, "");
+  ASSERT_NE(next_leader, old_leader);
+  cluster.submit(next_leader, array_job("wk-2", 8, 10));
+  EXPECT_EQ(cluster.cancel_until_final(next_leader, "wk-1", 42000).stage(), "withdrawn");
   EXPECT_EQ(cluster.running_tasks("wk-1"), 0);
   cluster.time.run_for(45000);
   EXPECT_EQ(cluster.running_tasks("wk-1"), 0);
   cluster.end_network_faults();
   EXPECT_TRUE(cluster.reaches("wk-2", "done", 120000));
-  EXPECT_EQ(cluster.poll(old, "wk-1").stage(), "withdrawn");
+  EXPECT_EQ(cluster.poll(old_leader, "wk-1").stage(), "withdrawn");
   cluster.expect_no_violations();
 }
 
-// The same while a machine dies and none can be returned: the expiry of the workers' leases alone
-// must end what runs there.
-TEST(Failover, PartitionedLeaderStopsAnsweringWorkersInTime) {
+// The leader is partitioned as in the test above, a machine crashes, and the cloud deletes no
+// machine. Only the expiry of the workers' leases can then end the cancelled tasks, so the
+// partitioned leader must stop renewing these leases.
+TEST(Failover, PartitionedLeaderStopsRenewingWorkerLeases) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.submit("n0", array_job("wk-1", 2, 300));
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-2", 6, 45)));
   cluster.time.run_for(2000);
-  const std::string old = cluster.leader();
-  cluster.net.set_rule([old](const std::string& from, const net::Call& call) {
+  const std::string old_leader = cluster.leader();
+  cluster.net.set_rule([old_leader](const std::string& from, const net::Call& call) {
     Delivery delivery;
-    delivery.drop = from == old && is_to_store(call);
+    delivery.drop = from == old_leader && is_to_store(call);
     return delivery;
   });
-  cluster.separate_from_peers(old);
+  cluster.separate_from_peers(old_leader);
   cluster.time.run_for(6000);
   cluster.cloud.machines.begin()->second->crash();
   cluster.time.run_for(3000);
-  const std::string next = cluster.leader();
-  ASSERT_NE(next, "");
-  ASSERT_NE(next, old);
+  const std::string next_leader = cluster.leader();
+  ASSERT_NE(next_leader, "");
+  ASSERT_NE(next_leader, old_leader);
   cluster.cloud.down = true;
-  EXPECT_EQ(cluster.cancel_until_final(next, "wk-1", 42000).stage(), "withdrawn");
+  EXPECT_EQ(cluster.cancel_until_final(next_leader, "wk-1", 42000).stage(), "withdrawn");
   EXPECT_EQ(cluster.running_tasks("wk-1"), 0);
   cluster.time.run_for(45000);
   cluster.cloud.down = false;
@@ -130,82 +135,87 @@
   cluster.end_network_faults();
   cluster.time.run_for(5000);
   EXPECT_EQ(cluster.leader_count(), 1);
-  EXPECT_EQ(cluster.poll(old, "wk-1").stage(), "withdrawn");
+  EXPECT_EQ(cluster.poll(old_leader, "wk-1").stage(), "withdrawn");
   cluster.expect_no_violations();
 }
 
-// The state service refuses the leader alone, for longer than its lease extension. Workers follow
-// the next leader at once, and the refused node still takes and answers requests.
+// The state service refuses the requests of the leader only, for longer than its lease extension.
+// The workers switch to the next leader at once, and the refused node still accepts jobs and
+// answers polls.
 TEST(Failover, ReplacesALeaderThatTheStoreRefuses) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 4, 60)));
-  const std::string old = cluster.leader();
-  cluster.net.set_rule([old](const std::string& from, const net::Call& call) {
+  const std::string old_leader = cluster.leader();
+  cluster.net.set_rule([old_leader](const std::string& from, const net::Call& call) {
     Delivery delivery;
-    if (from == old && is_to_store(call)) delivery.status = 503;
+    if (from == old_leader && is_to_store(call)) delivery.status = 503;
     return delivery;
   });
   cluster.time.run_for(9000);
   ASSERT_NE(cluster.leader(), "");
-  ASSERT_NE(cluster.leader(), old);
-  EXPECT_EQ(cluster.submit(old, array_job("wk-2", 3, 5)).status, 201);
-  EXPECT_EQ(cluster.submit(old, array_job("wk-2", 3, 5)).status, 200);
+  ASSERT_NE(cluster.leader(), old_leader);
+  EXPECT_EQ(cluster.submit(old_leader, array_job("wk-2", 3, 5)).status, 201);
+  EXPECT_EQ(cluster.submit(old_leader, array_job("wk-2", 3, 5)).status, 200);
   EXPECT_TRUE(cluster.reaches("wk-2", "done", 20000));
-  EXPECT_EQ(cluster.poll(old, "wk-2").stage(), "done");
+  EXPECT_EQ(cluster.poll(old_leader, "wk-2").stage(), "done");
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 90000));
   cluster.expect_no_task_started_twice();
   cluster.expect_no_violations();
 }
 
-// No worker reaches the leader, though the state service and its peers do.
+// No request passes between the workers and the leader, while the leader still reaches the state
+// service and its peers.
 TEST(Failover, ReplacesALeaderThatNoWorkerReaches) {
   SimulatedCluster cluster(1, 6);
   ASSERT_TRUE(cluster.wait_for_leader());
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 10, 60)));
   cluster.time.run_for(4000);
-  const std::string old = cluster.leader();
-  cluster.net.set_rule([old](const std::string& from, const net::Call& call) {
+  const std::string old_leader = cluster.leader();
+  cluster.net.set_rule([old_leader](const std::string& from, const net::Call& call) {
     Delivery delivery;
-    delivery.drop = is_to_node(call, old) || (from == old && call.endpoint.starts_with("m-"));
+    delivery.drop =
+        is_to_node(call, old_leader) || (from == old_leader && call.endpoint.starts_with("m-"));
     return delivery;
   });
   cluster.time.run_for(40000);  // twice a worker's lease
-  EXPECT_NE(cluster.leader(), old);
+  EXPECT_NE(cluster.leader(), old_leader);
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 60000));
   cluster.expect_no_task_started_twice();
   cluster.expect_no_violations();
 }
 
-// A leader that no worker reaches resigns. Of the others, one that no worker reaches either leaves
-// the election to one that they do reach.
+// A leader that no worker reaches resigns. One of the other two nodes is unreachable for the
+// workers as well, and must leave the election to the node that they do reach.
 TEST(Failover, ElectsANodeThatWorkersReach) {
   for (unsigned seed = 1; seed <= 8; ++seed) {
     SimulatedCluster cluster(seed, 6);
     ASSERT_TRUE(cluster.wait_for_leader());
     ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 10, 100)));
-    const std::string old = cluster.leader();
+    const std::string old_leader = cluster.leader();
     const std::string unreachable = cluster.follower();
-    cluster.net.set_rule([old, unreachable](const std::string& from, const net::Call& call) {
+    cluster.net.set_rule([old_leader, unreachable](const std::string& from, const net::Call& call) {
       Delivery delivery;
       delivery.refuse =
-          is_machine(from) && (is_to_node(call, old) || is_to_node(call, unreachable));
+          is_machine(from) && (is_to_node(call, old_leader) || is_to_node(call, unreachable));
       return delivery;
     });
-    for (int i = 0; i < 200 && (cluster.leader() == old || cluster.leader().empty()); ++i)
+    for (int i = 0; i < 200 && (cluster.leader() == old_leader || cluster.leader().empty()); ++i)
       cluster.time.run_for(100);
-    EXPECT_NE(cluster.leader(), old);
+    EXPECT_NE(cluster.leader(), old_leader);
     EXPECT_NE(cluster.leader(), unreachable) << "seed " << seed;
   }
 }
 
-// A new leader has machines listed whose workers have not found it yet: they are used.
-TEST(Failover, NewLeaderReturnsNoMachineBeforeItCanHaveReported) {
+// The cloud lists machines whose workers have sent the new leader no heartbeat yet, since they
+// first have to find out which node leads. The leader must wait for them and use these machines,
+// instead of returning them and renting others.
+TEST(Failover, NewLeaderReturnsNoMachineBeforeItsFirstHeartbeatIsDue) {
   SimulatedCluster cluster(1, 8);
   cluster.cloud.capacity = 8;
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.kill_all();
-  cluster.time.run_for(20000);  // longer than three boots
+  cluster.time.run_for(20000);  // longer than three boots, after which a boot counts as failed
   cluster.start_all();
   cluster.time.run_for(150);
   ASSERT_TRUE(cluster.wait_for_leader());
@@ -215,22 +225,23 @@
   cluster.expect_no_violations();
 }
 
-// With several hundred open jobs, within a quarter of a worker's lease.
-TEST(Failover, NextLeaderOfManyJobsPlacesAgainSoon) {
+// The next leader recovers several hundred open jobs and starts tasks again within a quarter of a
+// worker's lease.
+TEST(Failover, NextLeaderOfManyJobsStartsTasksWithinAQuarterOfALease) {
   SimulatedCluster cluster(1, 4);
-  cluster.cloud.capacity = 4;  // 8 tasks at once; the rest waits
+  cluster.cloud.capacity = 4;  // 8 tasks run at once, all others are queued
   ASSERT_TRUE(cluster.wait_for_leader());
   for (int i = 0; i < 300; ++i) {
     const std::string id = "wk-" + std::to_string(1000 + i);
     ASSERT_EQ(cluster.submit(cluster.leader(), array_job(id, 3, 6)).status, 201);
   }
-  const std::string first = cluster.leader();
-  cluster.kill(first);
+  const std::string first_leader = cluster.leader();
+  cluster.kill(first_leader);
   while (cluster.leader().empty()) cluster.time.run_for(100);
-  const int before = cluster.start_count();
+  const int starts_before = cluster.start_count();
   cluster.time.run_for(5000);  // lease_s / 4
-  EXPECT_GT(cluster.start_count(), before);
-  cluster.start(first);
+  EXPECT_GT(cluster.start_count(), starts_before);
+  cluster.start(first_leader);
   cluster.expect_no_violations();
 }
 
--- a/tests/fault_tolerance_test.cc
+++ b/tests/fault_tolerance_test.cc
@@ -1,5 +1,6 @@
-// Faults of machines, networks and messages, each with the guard that it needs: take the guard out,
-// and the test fails. In simulated time, against our own fakes, with a checker of the invariants.
+// Tests of single faults of machines, networks and messages. Each test fails when the code that
+// guards against its fault is removed. The tests run in simulated time against fakes of the state
+// service, the cloud and the workers, and an InvariantChecker verifies the invariants.
 #include <gtest/gtest.h>
 
 #include "fakes/calls.h"
@@ -8,7 +9,8 @@
 namespace seampass::fakes {
 namespace {
 
-// Nothing passes to or from these machines for as long as they are in the set.
+// Drops every request to or from the machines in the set. The set is read at each request, so that
+// later changes of it take effect.
 void cut_off(SimulatedCluster& cluster, const std::set<std::string>& machines) {
   cluster.net.set_rule([&machines](const std::string& from, const net::Call& call) {
     const std::string host = call.endpoint.substr(0, call.endpoint.find(':'));
@@ -18,16 +20,17 @@
   });
 }
 
-// Keeps the last request that this machine sent.
+// Stores the latest request that this machine has sent in `last_call`.
 void record_last_call(SimulatedCluster& cluster, const std::string& machine,
-                      std::optional<net::Call>& last) {
-  cluster.net.set_rule([machine, &last](const std::string& from, const net::Call& call) {
-    if (from == machine) last = call;
+                      std::optional<net::Call>& last_call) {
+  cluster.net.set_rule([machine, &last_call](const std::string& from, const net::Call& call) {
+    if (from == machine) last_call = call;
     return Delivery{};
   });
 }
 
-// Its heartbeats arrive, but answers and commands do not reach it.
+// The machine's heartbeats reach the leader, but the replies to them and the leader's commands do
+// not reach the machine.
 TEST(FaultTolerance, MovesTasksOffAMachineThatReceivesNothing) {
   SimulatedCluster cluster(1, 2);
   cluster.cloud.capacity = 4;
@@ -47,7 +50,8 @@
   cluster.expect_no_violations();
 }
 
-// An idle machine that no command reaches is given work once or twice, then returned.
+// No command reaches the first machine. When that machine is idle, the leader tries to start tasks
+// on it once or twice, then returns it to the cloud.
 TEST(FaultTolerance, ReturnsAMachineThatAnswersNoCommand) {
   SimulatedCluster cluster(1, 1);
   cluster.cloud.capacity = 2;
@@ -67,7 +71,8 @@
   cluster.expect_no_violations();
 }
 
-// After seconds, and after more than a lease, when their machine is gone and another node leads.
+// Copies of heartbeats arrive 2.5 s late, or 27 s late. The latter is longer than a worker's lease:
+// by then the machine that sent them may have crashed, and another node leads.
 TEST(FaultTolerance, IgnoresLateCopiesOfHeartbeats) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
@@ -78,32 +83,33 @@
     return delivery;
   });
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 8, 25)));
-  cluster.time.run_for(9000);  // well within the tasks' time
+  cluster.time.run_for(9000);  // while the tasks still run
   cluster.cloud.machines.at("m-000001")->crash();
-  const std::string first = cluster.leader();
+  const std::string first_leader = cluster.leader();
   cluster.time.run_for(1000);
-  cluster.kill(first);
+  cluster.kill(first_leader);
   cluster.time.run_for(15000);
-  cluster.start(first);
+  cluster.start(first_leader);
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 90000));
   cluster.submit("n1", array_job("wk-2", 8, 5));
   EXPECT_TRUE(cluster.reaches("wk-2", "done", 40000));
   cluster.expect_no_violations();
 }
 
+// Copies of a crashed machine's last heartbeat must not make the machine look alive.
 TEST(FaultTolerance, ReplacesADeadMachineDespiteCopiesOfItsHeartbeat) {
   SimulatedCluster cluster(1, 2);
   ASSERT_TRUE(cluster.wait_for_leader());
-  std::optional<net::Call> last;
-  record_last_call(cluster, "m-000001", last);
+  std::optional<net::Call> last_call;
+  record_last_call(cluster, "m-000001", last_call);
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 4, 20)));
   cluster.time.run_for(4000);
   cluster.cloud.machines.at("m-000001")->crash();
-  ASSERT_TRUE(last.has_value());
-  last->endpoint = cluster.leader() + ":8080";
+  ASSERT_TRUE(last_call.has_value());
+  last_call->endpoint = cluster.leader() + ":8080";
   bool done = false;
   for (int i = 0; i < 80 && !done; ++i) {
-    cluster.resend({*last});
+    cluster.resend({*last_call});
     done = cluster.poll("n0", "wk-1").stage() == "done";
     cluster.time.run_for(1000);
   }
@@ -111,34 +117,35 @@
   cluster.expect_no_violations();
 }
 
-// A former leader had the machine deleted; the next one, which knows nothing of that, receives a
-// copy of its heartbeat. Were the copy believed, the tasks would wait until the machine is given
-// up.
+// A former leader had the machine deleted. The next leader does not know of the deletion and
+// receives a late copy of the machine's heartbeat. If it took the copy as proof that the machine is
+// up, it would place the tasks there, and they would be delayed until it declares the machine lost.
 TEST(FaultTolerance, PlacesNothingOnADeletedMachineAfterACopyOfItsHeartbeat) {
   SimulatedCluster cluster(1, 1);
   cluster.cloud.capacity = 2;
   ASSERT_TRUE(cluster.wait_for_leader());
-  std::optional<net::Call> last;
-  record_last_call(cluster, "m-000001", last);
-  cluster.time.run_for(30000);  // idle: returned
+  std::optional<net::Call> last_call;
+  record_last_call(cluster, "m-000001", last_call);
+  cluster.time.run_for(30000);  // the machine is idle, so the leader returns it
   ASSERT_EQ(cluster.cloud.machines.count("m-000001"), 0u);
-  ASSERT_TRUE(last.has_value());
+  ASSERT_TRUE(last_call.has_value());
   cluster.kill(cluster.leader());
   cluster.time.run_for(8000);
-  const std::string next = cluster.leader();
-  ASSERT_NE(next, "");
-  last->endpoint = next + ":8080";
-  cluster.resend({*last});
+  const std::string next_leader = cluster.leader();
+  ASSERT_NE(next_leader, "");
+  last_call->endpoint = next_leader + ":8080";
+  cluster.resend({*last_call});
   cluster.time.run_for(500);
   EXPECT_EQ(cluster.submit(cluster.leader(), array_job("wk-1", 2, 2)).status, 201);
-  // A machine is rented, boots in 3 s, and has run both tasks by then.
+  // Within 17 s a new machine is rented, boots in 3 s and runs both tasks.
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 17000));
   cluster.expect_no_violations();
 }
 
-// Nodes are killed, separated and cut off from the store while jobs are submitted. Once that is
-// over, every accepted job is answered for, on every node, within 75 s.
-TEST(FaultTolerance, AnswersForEveryAcceptedJobAfterFaults) {
+// While jobs are submitted, the leader is killed, the nodes are cut off from each other, the state
+// service goes down for a time, and finally all nodes restart. Within 75 s after these faults end,
+// every node answers polls for every accepted job.
+TEST(FaultTolerance, AnswersPollsForEveryAcceptedJobAfterFaults) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   std::vector<std::string> accepted;
@@ -160,11 +167,12 @@
   cluster.net.set_peer_rule({});
   cluster.start_all();
   ASSERT_GT(accepted.size(), 8u);
-  const Ms over = cluster.time.now();
+  const Ms faults_ended_at = cluster.time.now();
   for (const std::string& id : accepted) {
     for (const char* node : kNodes) {
       int status = 0;
-      while ((status = cluster.poll(node, id).status) != 200 && cluster.time.now() - over < 75000)
+      while ((status = cluster.poll(node, id).status) != 200 &&
+             cluster.time.now() - faults_ended_at < 75000)
         cluster.time.run_for(500);
       EXPECT_EQ(status, 200) << id << " on " << node;
     }
@@ -178,10 +186,11 @@
   ASSERT_TRUE(cluster.wait_for_leader());
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 16, 120)));
   cluster.time.run_for(3000);
-  // Machines of odd number are in zone a, which is tried first where prices are the same.
+  // Machines with an odd number are in zone a. The leader rents there first, since both zones have
+  // the same prices.
   const std::set<std::string> zone_a{"m-000001", "m-000003", "m-000005", "m-000007"};
   cut_off(cluster, zone_a);
-  cluster.time.run_for(14000);  // silence takes a while to tell from a lost packet
+  cluster.time.run_for(14000);  // the leader needs time to tell a partition from a lost packet
   cluster.cloud.rented_by_zone.clear();
   for (int i = 0; i < 6; ++i) {
     cluster.submit("n0", array_job("wk-" + std::to_string(10 + i), 2, 30));
@@ -196,8 +205,8 @@
   cluster.expect_no_violations();
 }
 
-// Half of the machines are unreachable at the same time, for less than a lease: the one that became
-// so first is not returned either.
+// Half of the machines are unreachable at the same time, for less than a lease. One of them became
+// unreachable before the others; the leader must not return that one either.
 TEST(FaultTolerance, KeepsMachinesThatAreUnreachableTogether) {
   SimulatedCluster cluster(1, 8);
   cluster.cloud.capacity = 8;
@@ -215,8 +224,9 @@
   cluster.expect_no_violations();
 }
 
-// A job that was submitted with a mistake fails on each machine until it is cancelled: no machine
-// is barred to other jobs for that, and the job is tried now and then with one task.
+// A job with a mistake in its submission fails on every machine until it is cancelled. Its failures
+// must quarantine no machine for other jobs, and the leader retries the job with one task from time
+// to time.
 TEST(FaultTolerance, ThrottlesAJobThatFailsOnEveryMachine) {
   SimulatedCluster cluster(1, 4);
   cluster.cloud.capacity = 4;
@@ -230,16 +240,17 @@
     EXPECT_EQ(cluster.submit("n1", array_job(id, 8, 5)).status, 201);
     EXPECT_TRUE(cluster.reaches(id, "done", 15000)) << id;
   }
-  const int before = cluster.start_count();
+  const int starts_before = cluster.start_count();
   cluster.time.run_for(60000);
-  EXPECT_LE(cluster.start_count() - before, 10);
-  EXPECT_GT(cluster.start_count() - before, 1);
+  EXPECT_LE(cluster.start_count() - starts_before, 10);
+  EXPECT_GT(cluster.start_count() - starts_before, 1);
   EXPECT_EQ(cluster.cancel_until_final("n2", "wk-1", 5000).stage(), "withdrawn");
   EXPECT_EQ(cluster.cancel_until_final("n2", "wk-2", 5000).stage(), "withdrawn");
   cluster.expect_no_violations();
 }
 
-// A third of the start commands arrive long after their timeout; a third lose their answer.
+// A third of the commands arrive 1.5 to 11.5 s late, after their timeout. The answers to another
+// third are lost.
 TEST(FaultTolerance, RunsNoTaskTwiceWhenStartsAreLateOrRepeated) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
@@ -265,20 +276,21 @@
   cluster.expect_no_violations();
 }
 
-// A leader whose timers run late is overloaded: it starts fewer tasks, each of which would come
-// back to it as heartbeats and records, so that time is left for its lease.
-TEST(FaultTolerance, OverloadedLeaderPlacesLessOften) {
+// A leader whose timers run late is overloaded. It must run its scheduling passes less often, since
+// each task that it starts causes it further work with heartbeats and task records, and it needs
+// the time to renew its lease.
+TEST(FaultTolerance, OverloadedLeaderRunsFewerSchedulingPasses) {
   SimulatedCluster cluster(1, 8);
   ASSERT_TRUE(cluster.wait_for_leader());
   constexpr Ms lag = 800;
-  constexpr Ms between_passes = 300;
+  constexpr Ms min_pass_gap = 300;
   cluster.slow_down(cluster.leader(), lag);
-  int passes = 0;  // that started anything: each sends its starts together
-  Ms last = 0;
+  int passes = 0;  // those that started tasks; a pass sends all its start commands together
+  Ms last_start_at = 0;
   cluster.net.set_rule([&](const std::string&, const net::Call& call) {
     if (!is_start_command(call)) return Delivery{};
-    if (cluster.time.now() - last > between_passes) ++passes;
-    last = cluster.time.now();
+    if (cluster.time.now() - last_start_at > min_pass_gap) ++passes;
+    last_start_at = cluster.time.now();
     return Delivery{};
   });
   const Ms begin = cluster.time.now();
