--- a/tests/earlier_boot_test.cc
+++ b/tests/earlier_boot_test.cc
@@ -1,6 +1,6 @@
-// A machine ends and is back under its name, with fewer incarnations behind it than in its earlier
-// boot: what is left of that boot, in messages and records, says nothing of the present one. In
-// simulated time, against our own fakes.
+// Tests of a machine that restarts under its name with a lower incarnation than it had before.
+// Messages and task records from the earlier boot must prove nothing about the present one. The
+// tests run in simulated time against fakes of the state service, the cloud and the workers.
 #include <gtest/gtest.h>
 
 #include "fakes/calls.h"
@@ -11,7 +11,8 @@
 
 constexpr const char* kMachine = "m-000001";
 
-// Two machines, of which the first has lost its lease twice, and one of its heartbeats is kept.
+// A cluster of two machines. The lease of the first one has expired twice, which has raised its
+// incarnation, and `old_heartbeat_` holds its last heartbeat of that boot.
 class EarlierBoot : public ::testing::Test {
  protected:
   EarlierBoot() {
@@ -26,18 +27,19 @@
       if (!cut_off) old_heartbeat_ = call;
       return delivery;
     });
-    cluster_.time.run_for(45000);  // two leases
+    cluster_.time.run_for(45000);  // longer than two leases
     cut_off = false;
-    change_leader();  // the next one does not know that the machine was to be returned
+    // The new leader does not know that the former one wanted to return the machine.
+    change_leader();
     cluster_.time.run_for(9000);
     cluster_.net.set_rule({});
   }
 
   void change_leader() {
-    const std::string first = cluster_.leader();
-    cluster_.kill(first);
+    const std::string first_leader = cluster_.leader();
+    cluster_.kill(first_leader);
     cluster_.wait_for_election();
-    cluster_.start(first);
+    cluster_.start(first_leader);
   }
   void restart_machine() {
     cluster_.cloud.restart(kMachine);
@@ -48,16 +50,17 @@
   net::Call old_heartbeat_;
 };
 
-// A copy of the heartbeat reaches the next leader: it names a higher incarnation than the present
-// one, and does not end that, in which the machine runs its tasks.
-TEST_F(EarlierBoot, HeartbeatEndsNoIncarnation) {
+// Copies of the old heartbeat reach the next leader and show a higher incarnation than the present
+// one. The leader must not conclude that the present incarnation, in which the machine runs tasks,
+// has ended.
+TEST_F(EarlierBoot, HeartbeatDoesNotEndThePresentIncarnation) {
   restart_machine();
   cluster_.time.run_for(4000);
   ASSERT_TRUE(cluster_.submit_and_run(array_job("wk-1", 3, 60)));
   cluster_.time.run_for(4000);
   ASSERT_EQ(cluster_.running_tasks("wk-1"), 3);
-  const std::string first = cluster_.leader();
-  cluster_.kill(first);
+  const std::string first_leader = cluster_.leader();
+  cluster_.kill(first_leader);
   cluster_.wait_for_election();
   old_heartbeat_.endpoint = cluster_.leader() + ":8080";
   for (int i = 0; i < 20; ++i) {
@@ -65,14 +68,16 @@
     cluster_.time.run_for(50);
   }
   cluster_.time.run_for(30000);
-  cluster_.start(first);
+  cluster_.start(first_leader);
   EXPECT_TRUE(cluster_.reaches("wk-1", "done", 120000));
   cluster_.expect_no_violations();
 }
 
-// The task records name an incarnation that the machine has not reached again.
-TEST_F(EarlierBoot, IncarnationInRecordsIsNotWaitedFor) {
-  change_leader();  // by now the idle machines were to be returned
+// The task records name an incarnation that the machine has not reached again since its restart.
+// The leader must not wait for that incarnation before it starts the tasks again.
+TEST_F(EarlierBoot, LeaderDoesNotWaitForTheIncarnationInTaskRecords) {
+  // The former leader was about to return the idle machines; the new one uses them.
+  change_leader();
   cluster_.submit(cluster_.leader(), array_job("wk-1", 4, 30));
   ASSERT_TRUE(cluster_.reaches("wk-1", "running", 30000));
   cluster_.time.run_for(4000);
--- a/tests/machine_restart_test.cc
+++ b/tests/machine_restart_test.cc
@@ -1,6 +1,7 @@
-// Machines that end and are back within a fraction of a second, under their names, with a count of
-// heartbeats from the start. Each test fails when its guard is taken out. In simulated time,
-// against our own fakes.
+// Tests of machines that restart within a fraction of a second and keep their names. After a
+// restart a worker's incarnation and its heartbeat sequence numbers begin at 1 again. Each test
+// fails when the code that guards against its fault is removed. The tests run in simulated time
+// against fakes of the state service, the cloud and the workers.
 #include <gtest/gtest.h>
 
 #include "fakes/calls.h"
@@ -15,8 +16,10 @@
   return job;
 }
 
-// Two machines. The one in zone b is full for `full_s`, then has room for one task; the one in zone
-// a has room for one task now. The tests are about the latter.
+// A cluster of two machines, each with room for two tasks; one is in zone a and one in zone b.
+// After occupy_one_machine_in_each_zone(full_s) the machine in zone b is full for `full_s` seconds
+// and has room for one task afterwards, and the machine in zone a has room for one task at once.
+// The tests that call it restart the machine in zone a.
 class MachineRestart : public ::testing::TestWithParam<unsigned> {
  protected:
   MachineRestart() : cluster_(GetParam(), 2) { cluster_.cloud.capacity = 2; }
@@ -34,16 +37,18 @@
   SimulatedCluster cluster_;
 };
 
-// What the machine is told to start after its restart runs until its own lease expires, and is
-// started nowhere else before that; meanwhile no machine can be returned.
-TEST_P(MachineRestart, TasksStartedAfterItRunForTheWholeLease) {
+// A task that a machine starts after its restart may run until the lease of that boot expires. The
+// leader must not start the task elsewhere before then. Meanwhile the cloud deletes no machine, so
+// only the lease expiry proves the attempt absent.
+TEST_P(MachineRestart, TasksStartedAfterwardsMayRunForTheWholeLease) {
   ASSERT_TRUE(cluster_.wait_for_leader());
   cluster_.submit("n0", array_job("wk-900", 1, 900));
-  cluster_.submit("n0", array_job("wk-901", 1, 260));  // beside it: room from then on
-  auto last = array_job("wk-902", 1, 900);
-  last.priority = wire::Priority::low;
-  ASSERT_TRUE(cluster_.submit_and_run(last));
-  // The machine's count is far ahead of what comes after the restart.
+  // wk-901 runs on the same machine as wk-900, which has room for one task again when wk-901 ends.
+  cluster_.submit("n0", array_job("wk-901", 1, 260));
+  auto low_priority_job = array_job("wk-902", 1, 900);
+  low_priority_job.priority = wire::Priority::low;
+  ASSERT_TRUE(cluster_.submit_and_run(low_priority_job));
+  // By now the machine's sequence number is far higher than those after its restart.
   cluster_.time.run_for(244000 + 500 * GetParam());
   const std::string restarted = machine_of("wk-902");
   ASSERT_NE(machine_of("wk-900"), restarted);
@@ -53,44 +58,47 @@
   cluster_.submit("n0", array_job("wk-1", 1, 300));
   cluster_.time.run_for(1000);
   ASSERT_EQ(machine_of("wk-1"), restarted);
-  cluster_.time.run_for(50000);  // the other machine has room again before the lease expires
+  cluster_.time.run_for(50000);  // the other machine has room again before this lease expires
   cluster_.cloud.down = false;
   EXPECT_TRUE(cluster_.reaches("wk-1", "done", 900000));
   cluster_.expect_no_violations();
 }
 
-// A heartbeat is delayed on its way. The machine restarts, its count is lower than before, and it
-// is given work. By its count the delayed heartbeat looks newer than what the machine has said
-// since; it lacks the task, and proves nothing: the task runs.
-TEST_P(MachineRestart, HeartbeatDelayedSinceBeforeItEndsNoTask) {
+// A heartbeat is delayed, the machine restarts, and the leader starts a task there. The sequence
+// number of the delayed heartbeat is higher than those of the heartbeats since the restart, so it
+// looks newer than they are. It does not list the running task, and the leader must not take it as
+// proof that the attempt is absent.
+TEST_P(MachineRestart, HeartbeatFromBeforeTheRestartEndsNoTask) {
   occupy_one_machine_in_each_zone(12);
   const std::string host = machine_of("wk-902");
-  net::Call delayed;
-  cluster_.net.set_rule([&delayed, host](const std::string& from, const net::Call& call) {
+  net::Call delayed_heartbeat;
+  cluster_.net.set_rule([&delayed_heartbeat, host](const std::string& from, const net::Call& call) {
     Delivery delivery;
     if (from != host || !is_heartbeat(call)) return delivery;
-    delayed = call;
+    delayed_heartbeat = call;
     delivery.status = 503;
     return delivery;
   });
-  cluster_.time.run_for(5500);  // the count goes on, and the leader does not learn of it
+  cluster_.time.run_for(5500);  // the worker sends heartbeats that the leader does not receive
   cluster_.net.set_rule({});
   cluster_.cloud.restart(host);
   ASSERT_TRUE(cluster_.submit_and_run(array_job("wk-1", 1, 200), 10000));
   ASSERT_EQ(machine_of("wk-1"), host);
-  auto next = pinned_job("wk-903", 1, 400, "a");  // waits for that task's room
-  next.priority = wire::Priority::high;
-  cluster_.submit("n0", next);
-  delayed.endpoint = cluster_.leader() + ":8080";
-  cluster_.resend({delayed});
+  // This job would start as soon as the leader took the task of wk-1 to be absent.
+  auto high_priority_job = pinned_job("wk-903", 1, 400, "a");
+  high_priority_job.priority = wire::Priority::high;
+  cluster_.submit("n0", high_priority_job);
+  delayed_heartbeat.endpoint = cluster_.leader() + ":8080";
+  cluster_.resend({delayed_heartbeat});
   cluster_.time.run_for(20000);
   cluster_.expect_no_violations();
   EXPECT_EQ(cluster_.checker.starts[(TaskKey{"wk-1", 0})], 1);
 }
 
-// A start is executed after the restart, and its answer is lost. The task runs until the lease that
-// began with the machine expires, and is not started elsewhere before.
-TEST_P(MachineRestart, StartWithoutAnAnswerMayRunForTheWholeLease) {
+// The machine executes a start command after its restart, and the answer is lost. The task may run
+// until the lease that began with this boot expires, so the leader must not start it elsewhere
+// before then.
+TEST_P(MachineRestart, UnansweredStartMayRunForTheWholeLease) {
   occupy_one_machine_in_each_zone(14);
   const std::string host = machine_of("wk-902");
   bool heartbeats_lost = false;
@@ -102,7 +110,7 @@
   });
   cluster_.time.run_for(250 * GetParam());
   heartbeats_lost = true;
-  cluster_.cloud.down = true;  // no machine can be returned
+  cluster_.cloud.down = true;  // so that no machine can be deleted
   cluster_.time.run_for(5000);
   cluster_.cloud.restart(host);
   cluster_.submit("n0", array_job("wk-1", 1, 100));
@@ -116,7 +124,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, MachineRestart, ::testing::Range(1u, 7u));
 
-// So does a node.
+// The leader and two machines restart within a few seconds of each other; every job must still be
+// done.
 TEST(MachineRestarts, DuringAnElectionLoseNoJob) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
@@ -124,11 +133,11 @@
   cluster.submit("n0", gang_job("wk-2", 2, 25));
   ASSERT_TRUE(cluster.reaches("wk-1", "running", 30000));
   cluster.time.run_for(4000);
-  const std::string first = cluster.leader();
-  cluster.kill(first);
+  const std::string first_leader = cluster.leader();
+  cluster.kill(first_leader);
   cluster.time.run_for(200);
   cluster.cloud.restart("m-000001");
-  cluster.start(first);
+  cluster.start(first_leader);
   cluster.time.run_for(2000);
   cluster.cloud.restart("m-000002");
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 150000));
--- a/tests/store_faults_test.cc
+++ b/tests/store_faults_test.cc
@@ -1,5 +1,6 @@
-// Outages, delays and lost answers of the state service. In simulated time, against our own fakes,
-// with a checker of the invariants.
+// Tests of outages, delays and lost answers of the state service. The tests run in simulated time
+// against fakes of the state service, the cloud and the workers, and an InvariantChecker verifies
+// the invariants.
 #include <gtest/gtest.h>
 
 #include "fakes/calls.h"
@@ -26,25 +27,26 @@
   ASSERT_TRUE(cluster.wait_for_leader());
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 6, 100)));
   cluster.state.down = true;
-  cluster.time.run_for(70000);  // far beyond lease_s and cancel_s
+  cluster.time.run_for(70000);  // far longer than lease_s and cancel_s
   cluster.state.come_back();
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 120000));
   cluster.expect_no_task_started_twice();
   cluster.expect_no_violations();
 }
 
-// A node that started after the leader's last renewal may have led and forgotten it: its
-// confirmation does not count, and the workers' leases expire as they would without it.
+// A node that started after the leader's last renewal may have led in between without remembering
+// it. The leader must not count this node's epoch confirmation, so its lease extension ends and the
+// workers' leases expire.
 TEST(StoreFaults, IgnoresTheConfirmationOfARestartedNode) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 6, 100)));
   cluster.state.down = true;
   cluster.time.run_for(2000);
-  const std::string other = cluster.follower();
-  cluster.kill(other);
+  const std::string restarted_node = cluster.follower();
+  cluster.kill(restarted_node);
   cluster.time.run_for(1000);
-  cluster.start(other);
+  cluster.start(restarted_node);
   cluster.time.run_for(60000);
   EXPECT_TRUE(cluster.checker.running_on.empty());
   cluster.state.come_back();
@@ -52,8 +54,8 @@
   cluster.expect_no_violations();
 }
 
-// By an overloaded leader or a slow store: the answers to renewals take longer than other requests
-// wait for theirs.
+// An overloaded leader or a slow state service delays the answers to lease renewals. These answers
+// take longer than the timeout of other requests, and the leader must still accept them.
 TEST(StoreFaults, KeepsTheLeaseWhenRenewalsAreSlow) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
@@ -70,7 +72,7 @@
   cluster.expect_no_violations();
 }
 
-TEST(StoreFaults, DoesNotGuessTheOutcomeOfUnansweredTransactions) {
+TEST(StoreFaults, DoesNotAssumeTheOutcomeOfUnansweredTransactions) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   int transactions = 0;
@@ -95,9 +97,9 @@
   cluster.expect_no_violations();
 }
 
-// The leader learns of a submission neither from its peers nor from its watch, and by the time that
-// it can watch again the changes are compacted.
-TEST(StoreFaults, ListsAgainWhenAWatchFellBehind) {
+// The leader learns of a submission neither from its peers nor through its watch. When it can watch
+// again, the state service has compacted the change, so the leader must list the open jobs again.
+TEST(StoreFaults, ListsAgainAfterTheWatchedChangesWereCompacted) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.separate_peers();
@@ -114,10 +116,10 @@
   cluster.expect_no_violations();
 }
 
-// Users who poll, far more often than the store could answer.
+// Sends users' polls, far more of them than the state service could answer.
 class PollStorm {
  public:
-  // Polls through n0 and n2, or n1 in place of one of them that is down.
+  // Sends the polls to n0 and n2 in turn. If `down` names one of these two, n1 takes its place.
   PollStorm(SimulatedCluster& cluster, std::string down)
       : cluster_(cluster), down_(std::move(down)) {}
 
@@ -143,32 +145,33 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// Nobody leads, so that polls cannot be answered from memory: the store is left free for
-// submissions and for the next leader.
-TEST(StoreFaults, PollsWithoutALeaderLeaveTheStoreToSubmissions) {
+// No node leads, so no node can answer polls from memory and each poll would need a read of the
+// state service. The nodes must leave enough of its request rate for submissions and for the next
+// leader.
+TEST(StoreFaults, PollsWithoutALeaderLeaveCapacityForSubmissions) {
   SimulatedCluster cluster(1, 4);
   ASSERT_TRUE(cluster.wait_for_leader());
   for (int i = 0; i < 40; ++i)
     cluster.submit(cluster.follower(), array_job("wk-" + std::to_string(100 + i), 1, 30));
   cluster.state.limit = static_cast<int>(settings_for("n0").state_limits.rps);
-  const std::string former = cluster.leader();
-  cluster.kill(former);
+  const std::string former_leader = cluster.leader();
+  cluster.kill(former_leader);
   cluster.time.run_for(1000);
   const int refused_before = cluster.state.refused;
 
-  PollStorm storm(cluster, former);
+  PollStorm storm(cluster, former_leader);
   int submitted = 0;
   for (; cluster.leader().empty() && submitted < 100; ++submitted) {
     storm.poll(100);
-    const Ms before = cluster.time.now();
+    const Ms submitted_at = cluster.time.now();
     const std::string id = "wk-" + std::to_string(500 + submitted);
     EXPECT_EQ(cluster.submit(cluster.follower(), array_job(id, 1, 30)).status, 201) << id;
-    EXPECT_LT(cluster.time.now() - before, 1000);
+    EXPECT_LT(cluster.time.now() - submitted_at, 1000);
     cluster.time.run_for(100);
   }
 
   EXPECT_GT(submitted, 10);
-  EXPECT_LT(submitted, 100);  // the next leader was elected all the same
+  EXPECT_LT(submitted, 100);  // a leader is elected despite the load
   cluster.time.run_for(5000);
   EXPECT_EQ(storm.answered(), storm.sent());
   EXPECT_LT((cluster.state.refused - refused_before) * 20, storm.sent());
