--- a/src/state/client.cc
+++ b/src/state/client.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A page is large: it is waited for longer than an ordinary answer, by this factor.
-constexpr Ms kListTimeouts = 2;
+// A page of a listing is large, so its timeout is this multiple of the ordinary timeout.
+constexpr Ms kListTimeoutFactor = 2;
 
 }  // namespace
 
@@ -29,7 +29,7 @@
 
 void Client::list(const std::string& prefix, const std::string& after,
                   std::function<void(ListResult)> done) {
-  submit(Urgency::final_status, list_request(prefix, after), kListTimeouts * timeout_,
+  submit(Urgency::final_status, list_request(prefix, after), kListTimeoutFactor * timeout_,
          [done = std::move(done)](const Reply& reply) { done(decode_list(reply)); });
 }
 
--- a/src/state/client.h
+++ b/src/state/client.h
@@ -1,7 +1,11 @@
-// The actor that speaks to the state service, a consensus-backed key-value store: it paces requests
-// (request_queue.h), sends them, and tells their outcomes apart (protocol.h). It repeats nothing by
-// itself, since only the caller knows what a repeat would mean. All parts of a controller share
-// one, on the loop's thread; callbacks run on that thread, in general after the call has returned.
+// Client is the actor that talks to the state service, a consensus-backed key-value store. It owns
+// the queue that paces requests (request_queue.h), sends each request over HTTP, and classifies its
+// outcome (protocol.h). It never repeats a request, because only the caller knows whether a second
+// execution would do harm.
+//
+// All parts of a controller share one Client and use it on the loop's thread. Callbacks run on that
+// thread, in general after the call that passed them has returned. A failed request is reported
+// through the outcome that its callback receives. All times are in ms.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +19,9 @@
 
 namespace seampass::state {
 
-// What was asked of the service since this process began, and what became of it.
+// Counts since this process started. `reads` are the requests sent that change no key, `writes`
+// those that change keys. `refused` are those that the service answered with 429 or 503. `unknown`
+// are those that may have been executed although no answer arrived.
 struct Counters {
   std::uint64_t reads = 0, writes = 0, refused = 0, unknown = 0;
 };
@@ -24,43 +30,48 @@
  public:
   using Ticket = RequestQueue::Ticket;
 
-  // `rps`, `write_rps`: requests and changed keys a second, this controller's share of the
-  // service's limits. `timeout`: ms for which an ordinary answer is waited for.
+  // `rps` and `write_rps` are this controller's share of the service's limits, in requests and in
+  // changed keys per second. `timeout`: how long, in ms, the client waits for an ordinary answer.
   Client(net::Runtime& runtime, net::HttpCaller& http, std::string endpoint, double rps,
          double write_rps, net::Ms timeout);
 
   void get(const std::string& key, std::function<void(GetResult)> done,
            Urgency urgency = Urgency::final_status);
-  // One page of the keys that begin with `prefix`, from after the key `after`.
+  // Reads one page of the keys that begin with `prefix`. The page starts behind the key `after`, or
+  // at the first key if `after` is empty.
   void list(const std::string& prefix, const std::string& after,
             std::function<void(ListResult)> done);
+  // Queues a compare-and-swap. The ticket allows withdraw() until the request is sent.
   Ticket txn(Txn txn, Urgency urgency, std::function<void(TxnResult)> done);
-  // Takes a request back that was not sent yet: `done` is not called. False if it is too late.
+  // Removes a request that still waits in the queue; its `done` is never called. Returns false if
+  // the request no longer waits there.
   [[nodiscard]] bool withdraw(Ticket ticket) { return queue_.withdraw(ticket); }
-  // What happened to the keys that begin with `prefix` after revision `since`; the answer comes
-  // with the first events, or without any after `wait` ms.
+  // Reports the changes made after revision `since` to keys that begin with `prefix`. The service
+  // answers when the first events occur, or without events after `wait` ms.
   void watch(const std::string& prefix, Version since, net::Ms wait,
              std::function<void(WatchResult)> done);
-  // `ttl`: ms, from when the service executes the request.
+  // `ttl`: the lease's duration in ms, which starts when the service executes the request.
   void grant_lease(net::Ms ttl, std::function<void(LeaseResult)> done);
   void renew_lease(std::uint64_t lease, net::Ms timeout, std::function<void(Outcome)> done);
   void revoke_lease(std::uint64_t lease, std::function<void(Outcome)> done);
 
-  // Whether the reads that answer one status query may be made now. Queries come as often as users
-  // ask, so they get what the rest leaves: none while anything waits, and fewer once the service
-  // refuses.
+  // Returns true if the reads that answer one status query may be sent now, and counts them against
+  // the rate of status queries. Users decide how often they query, so queries get only the rate
+  // that other requests leave unused: no query is admitted while a request waits in the queue, and
+  // fewer are admitted after the service has refused requests.
   [[nodiscard]] bool admit_query() { return queue_.admit_query(); }
 
-  // How long, in ms, a request of this urgency would wait for its turn now.
+  // How long, in ms, a request of this urgency would wait in the queue if it were added now.
   [[nodiscard]] net::Ms backlog(Urgency urgency) const { return queue_.backlog(urgency); }
   [[nodiscard]] const Counters& counters() const { return counters_; }
-  // Requests that wait for their turn.
+  // The number of requests of this kind that wait in the queue.
   [[nodiscard]] std::size_t waiting(RequestKind kind) const { return queue_.waiting(kind); }
-  // The last few requests all failed, or were refused.
-  [[nodiscard]] bool seems_down() const { return consecutive_failures_ >= kFailuresWhenDown; }
+  // Returns true if each of the last requests (at least kMinFailuresWhenDown) got no answer or was
+  // refused with 429 or 503.
+  [[nodiscard]] bool seems_down() const { return consecutive_failures_ >= kMinFailuresWhenDown; }
 
  private:
-  static constexpr int kFailuresWhenDown = 3;
+  static constexpr int kMinFailuresWhenDown = 3;
 
   Ticket submit(Urgency urgency, Request request, net::Ms timeout, net::ReplyFn done,
                 int writes = 0);
--- a/src/state/protocol.cc
+++ b/src/state/protocol.cc
@@ -17,9 +17,10 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-constexpr const char* kMostItemsInAPage = "500";
+constexpr const char* kMaxItemsPerPage = "500";
 
-// `fill` is called for an outcome that has a body.
+// Decodes an answer. `fill` reads the body into the result; it runs only for the outcomes whose
+// answers have a body. A malformed body makes the outcome unknown.
 template <typename Result, typename Fill>
 Result decode(const Reply& reply, Fill fill) {
   Result result;
@@ -71,7 +72,7 @@
 Request get_request(const std::string& key) { return {"GET", "/keys/" + key, ""}; }
 
 Request list_request(const std::string& prefix, const std::string& after) {
-  std::string path = "/keys?under=" + prefix + "&most=" + kMostItemsInAPage;
+  std::string path = "/keys?under=" + prefix + "&most=" + kMaxItemsPerPage;
   if (!after.empty()) path += "&since=" + after;
   return {"GET", std::move(path), ""};
 }
--- a/src/state/protocol.h
+++ b/src/state/protocol.h
@@ -1,6 +1,7 @@
-// The state service's protocol: typed requests and results, and their forms in HTTP and JSON. Pure
-// functions and plain values; state::Client is the only caller of the codec. Nothing else in the
-// program knows the service's own words.
+// The state service's protocol: typed requests and results, and the functions that encode them to
+// and decode them from HTTP and JSON. The functions are pure and the types are plain values.
+// state::Client is the only caller of the functions. Only protocol.cc contains the service's own
+// names of paths and fields.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +15,15 @@
 
 namespace seampass::state {
 
-// The service's revision at which a key was last written; also a revision of the whole store.
+// A revision of the service's store. The version of a key is the revision at which the key was last
+// written.
 using Version = std::uint64_t;
 
 struct Item {
   std::string key;
   wire::Json value;
   Version version = 0;
-  std::uint64_t lease = 0;  // 0: lives on its own
+  std::uint64_t lease = 0;  // the lease that the key is bound to; 0: none
 };
 
 struct Condition {
@@ -31,33 +33,35 @@
 
 struct Change {
   std::string key;
-  std::optional<wire::Json> value;  // none: delete
-  std::uint64_t lease = 0;          // the key goes with this lease; 0: lives on its own
+  std::optional<wire::Json> value;  // none: the key is deleted
+  std::uint64_t lease = 0;          // the service deletes the key when this lease ends; 0: no lease
 };
 
-// A compare-and-swap: all changes are made if all conditions hold, or else none.
+// A compare-and-swap: the service makes all changes if all conditions hold, and none otherwise.
 struct Txn {
   std::vector<Condition> conditions;
   std::vector<Change> changes;
 };
 
-// What is known of a request after its answer, or for want of one.
+// What the caller can conclude about a request from its answer, or from the lack of an answer.
 enum class Outcome {
   ok,        // 200: executed
   conflict,  // 409: nothing changed; TxnResult::failed names the keys
-  missing,   // 404 or 410: no such key, a lease that ended, or a revision that is too old
-  refused,   // certainly not executed (429, 503, not sent): may be repeated at once
-  // 400: not executed, and never will be as it is: too large, or its lease has ended.
+  missing,   // 404 or 410: no such key, the lease has ended, or the revision is too old
+  refused,   // 429, 503 or not sent: not executed, so the caller may repeat it at once
+  // 400: not executed, and the same request would fail again. It is too large, or the lease that it
+  // names has ended.
   invalid,
-  // May have been executed, or may still be: only a repeat that does no harm in either case may be
-  // sent, such as a read or a transaction that compares versions.
+  // No usable answer: the service may have executed the request, or may still execute it. The
+  // caller may repeat it only if a second execution does no harm, as with a read or with a
+  // transaction that compares versions.
   unknown,
 };
 
 struct TxnResult {
   Outcome outcome = Outcome::unknown;
-  Version revision = 0;             // if ok: the version of every key that was written
-  std::vector<std::string> failed;  // keys whose condition did not hold
+  Version revision = 0;             // if ok: the new version of every key written
+  std::vector<std::string> failed;  // if conflict: the keys whose condition did not hold
 
   [[nodiscard]] bool failed_on(const std::string& key) const {
     return std::find(failed.begin(), failed.end(), key) != failed.end();
@@ -72,19 +76,19 @@
 struct ListResult {
   Outcome outcome = Outcome::unknown;
   std::vector<Item> items;  // in the order of their keys
-  bool more = false;        // list again, after the last of these
-  Version revision = 0;     // of the store when it was listed
+  bool more = false;        // true: further keys follow; list again after the last item
+  Version revision = 0;     // the store's revision when the page was read
 };
 
 struct Event {
   std::string key;
-  std::optional<wire::Json> value;  // none: deleted
+  std::optional<wire::Json> value;  // none: the key was deleted
   Version version = 0;
 };
 
 struct WatchResult {
   Outcome outcome = Outcome::unknown;  // missing: `since` is too old
-  Version revision = 0;                // watch on from here
+  Version revision = 0;                // the revision to watch from next
   std::vector<Event> events;
 };
 
@@ -93,7 +97,7 @@
   std::uint64_t lease = 0;
 };
 
-// A request without where it goes and for how long it is waited for.
+// An HTTP request without its endpoint and timeout, which Client adds.
 struct Request {
   const char* method = "GET";
   std::string path;
@@ -101,19 +105,20 @@
 };
 
 [[nodiscard]] Request get_request(const std::string& key);
-// `after`: the last key of the page before; empty for the first page.
+// `after`: the last key of the previous page; empty for the first page.
 [[nodiscard]] Request list_request(const std::string& prefix, const std::string& after);
 [[nodiscard]] Request txn_request(Txn txn);
-// `wait`: ms for which the service may hold the answer back if nothing happens.
+// `wait`: how long, in ms, the service may delay its answer while no event occurs.
 [[nodiscard]] Request watch_request(const std::string& prefix, Version since, net::Ms wait);
 [[nodiscard]] Request grant_lease_request(net::Ms ttl);
 [[nodiscard]] Request renew_lease_request(std::uint64_t lease);
 [[nodiscard]] Request revoke_lease_request(std::uint64_t lease);
 
-// The service has more to do than it takes: 429 or 503.
+// Returns true if the service refused the request because it is overloaded (429 or 503).
 [[nodiscard]] bool is_refusal(const net::Reply& reply);
 [[nodiscard]] Outcome outcome_of(const net::Reply& reply);
-// None of these throws: a malformed answer counts as none, so that its outcome is unknown.
+// The decode functions do not throw. They treat a malformed answer as no answer, so its outcome is
+// Outcome::unknown.
 [[nodiscard]] GetResult decode_get(const net::Reply& reply);
 [[nodiscard]] ListResult decode_list(const net::Reply& reply);
 [[nodiscard]] TxnResult decode_txn(const net::Reply& reply);
--- a/tests/request_queue_test.cc
+++ b/tests/request_queue_test.cc
@@ -1,4 +1,4 @@
-// The order and the pace in which requests go to the state service.
+// RequestQueue: the order in which requests are sent to the state service, and the rate.
 #include "state/request_queue.h"
 
 #include <gtest/gtest.h>
@@ -18,8 +18,8 @@
     call.path = name;
     return queue.add(urgency, std::move(call), writes, [](const net::Reply&) {});
   }
-  // Uses up the burst of writes, at 4 a second.
-  void fill() {
+  // Uses up the burst of two writes that the queue allows at four writes per second.
+  void use_up_write_burst() {
     for (int i = 0; i < 2; ++i) add("burst", Urgency::progress, 1);
     sent.clear();
   }
@@ -33,8 +33,8 @@
 
 using Sent = std::vector<std::string>;
 
-TEST_F(RequestQueueTest, TheMostUrgentGoesFirstAndALeaseAtOnce) {
-  fill();
+TEST_F(RequestQueueTest, SendsLeaseRequestsAtOnceAndOthersInOrderOfUrgency) {
+  use_up_write_burst();
   add("progress", Urgency::progress, 1);
   add("assignment", Urgency::assignment, 1);
   add("final", Urgency::final_status, 1);
@@ -47,8 +47,8 @@
   EXPECT_EQ(sent, (Sent{"lease", "final", "assignment", "progress"}));
 }
 
-TEST_F(RequestQueueTest, WhatIsWithdrawnIsNotSent) {
-  fill();
+TEST_F(RequestQueueTest, DoesNotSendAWithdrawnRequest) {
+  use_up_write_burst();
   const auto ticket = add("progress", Urgency::progress, 1);
   EXPECT_TRUE(queue.withdraw(ticket));
   EXPECT_FALSE(queue.withdraw(ticket));
@@ -56,24 +56,24 @@
   EXPECT_EQ(sent, Sent{});
 }
 
-TEST_F(RequestQueueTest, QueriesWaitForNothingAndGetLessAfterARefusal) {
+TEST_F(RequestQueueTest, AdmitsNoQueryWhileARequestWaitsAndFewerAfterARefusal) {
   EXPECT_TRUE(queue.admit_query());
-  fill();
+  use_up_write_burst();
   add("progress", Urgency::progress, 1);
   EXPECT_FALSE(queue.admit_query());
   time.run_for(2000);
   EXPECT_TRUE(queue.admit_query());
-  const auto admitted = [this] {
+  const auto count_admitted_queries = [this] {
     int count = 0;
     while (queue.admit_query()) ++count;
     return count;
   };
-  admitted();
+  count_admitted_queries();
   time.run_for(400);
-  const int before = admitted();
+  const int before_refusal = count_admitted_queries();
   queue.on_answer(ServiceAnswer::refused);
   time.run_for(400);
-  EXPECT_LT(admitted(), before);
+  EXPECT_LT(count_admitted_queries(), before_refusal);
 }
 
 }  // namespace
--- a/tests/state_protocol_test.cc
+++ b/tests/state_protocol_test.cc
@@ -1,5 +1,5 @@
-// What each answer of the state service, or the want of one, permits. The literal forms of requests
-// and answers are in formats_requests_test.cc.
+// The outcome of each answer of the state service, and of requests without an answer.
+// formats_requests_test.cc compares requests and answers with literals.
 #include <gtest/gtest.h>
 
 #include "state/protocol.h"
@@ -22,13 +22,13 @@
     EXPECT_EQ(outcome_of(answered(status)), outcome) << status;
 }
 
-TEST(StateProtocol, OnlyARequestThatWasNotSentCountsAsRefused) {
+TEST(StateProtocol, WithoutAnAnswerOnlyAnUnsentRequestIsRefused) {
   EXPECT_EQ(outcome_of({Reply::Fate::not_sent, 0, {}}), Outcome::refused);
   EXPECT_EQ(outcome_of({Reply::Fate::unknown, 0, {}}), Outcome::unknown);
   EXPECT_EQ(outcome_of({Reply::Fate::unknown, 503, {}}), Outcome::unknown);
 }
 
-TEST(StateProtocol, AMalformedAnswerCountsAsNone) {
+TEST(StateProtocol, TheOutcomeOfAMalformedAnswerIsUnknown) {
   for (const char* body : {"", "[]", "{", "{}", R"({"ledger_rev":-1})"}) {
     EXPECT_EQ(decode_get(answered(200, body)).outcome, Outcome::unknown) << body;
     EXPECT_EQ(decode_list(answered(200, body)).outcome, Outcome::unknown) << body;
@@ -36,11 +36,11 @@
     EXPECT_EQ(decode_watch(answered(200, body)).outcome, Outcome::unknown) << body;
     EXPECT_EQ(decode_lease(answered(200, body)).outcome, Outcome::unknown) << body;
   }
-  // Which keys failed is part of a conflict.
+  // A conflict is malformed if it does not name the keys whose condition failed.
   EXPECT_EQ(decode_txn(answered(409, R"({"ledger_rev":3})")).outcome, Outcome::unknown);
 }
 
-TEST(StateProtocol, AConflictNamesTheKeysThatFailed) {
+TEST(StateProtocol, AConflictNamesTheKeysWhoseConditionFailed) {
   const TxnResult result = decode_txn(answered(409, R"({"ledger_rev":3,"failed":["leader"]})"));
   EXPECT_EQ(result.outcome, Outcome::conflict);
   EXPECT_TRUE(result.failed_on("leader"));
