--- a/src/rpc/peer.capnp
+++ b/src/rpc/peer.capnp
@@ -1,5 +1,7 @@
 @0xd3a1c95be07f4218;
-# What passes between controllers. One envelope a message, one way; answers carry the ask's number.
+# The messages between controllers. Each message is one Envelope and goes one way. A JobReply
+# repeats the number of its JobRequest, and an EpochConfirmation the round of its
+# LeaderAnnouncement.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("seampass::rpc::schema");
@@ -12,49 +14,54 @@
     leaderAnnouncement @3 :LeaderAnnouncement;
     epochConfirmation @4 :EpochConfirmation;
   }
-  # Of the sender's program; 0 where the sender does not say, as before this field was added.
+  # The version of the sender's program. It is 0 if the sender states none, as a program does
+  # that is older than this field.
   version @5 :UInt16;
 }
 
-# A job was accepted and is in the state service; sent to the leader.
+# Tells the leader that the sender has accepted a job, whose record is in the state service.
 struct JobAccepted {
   id @0 :Text;
-  record @1 :Text;  # the value of its key
-  version @2 :UInt64;
+  record @1 :Text;  # the value of the job's key
+  version @2 :UInt64;  # of that key
 }
 
-# The sender leads. A node that the state service does not answer learns it from here alone.
+# Announces that the sender is the leader. A node that gets no answer from the state service learns
+# of a leader only from this message.
 struct LeaderAnnouncement {
-  epoch @0 :UInt64;
-  round @1 :UInt64;  # not 0: an EpochConfirmation is requested
+  epoch @0 :UInt64;  # the sender's
+  round @1 :UInt64;  # not 0: the receiver answers with an EpochConfirmation
 }
 
-# What the sender knows of leaders, and for how long it has been up.
+# Answers a LeaderAnnouncement with the highest epoch that the sender knows, and the time since the
+# sender's process started.
 struct EpochConfirmation {
   round @0 :UInt64;
-  epoch @1 :UInt64;  # the highest that it knows anybody to have led with
-  upMs @2 :Int64;
+  epoch @1 :UInt64;  # the highest epoch of any leader that the sender knows of
+  upMs @2 :Int64;  # ms since the sender's process started
 }
 
-# A user's poll or cancellation, or (with a record) a submission that the sender could not write.
+# A user's poll or cancellation, or (with a record) a submission that the sender could not write to
+# the state service.
 struct JobRequest {
   number @0 :UInt64;
   id @1 :Text;
   cancel @2 :Bool;
-  record @3 :Text;
+  record @3 :Text;  # not empty: the receiver is asked to accept this job
 }
 
+# The leader's answer to a JobRequest.
 struct JobReply {
   number @0 :UInt64;
   lookup @1 :Lookup;
   stage @2 :UInt8;
   done @3 :UInt64;
   running @4 :UInt64;
-  fresh @5 :Bool;  # the submission made the job
+  fresh @5 :Bool;  # the submission created the job, which did not exist before
 
   enum Lookup {
-    unavailable @0; # does not lead, or can't tell now
+    unavailable @0; # the sender does not lead, or cannot answer now
     found @1;
-    notFound @2;  # no such job: a read of the state service said so
+    notFound @2;  # a read of the state service has shown that no such job exists
   }
 }
--- a/src/rpc/peer.h
+++ b/src/rpc/peer.h
@@ -1,7 +1,9 @@
-// The messages between controllers as plain structures, and the interface of what carries them.
+// The messages between controllers as plain structures, and PeerTransport, the interface that
+// carries them.
 //
-// Every message goes one way and may be lost; a reply repeats the number of its request. Their
-// encoding is that of peer.capnp (peer_codec.h).
+// Every message goes one way and may be lost. A JobReply repeats the number of its JobRequest, and
+// an EpochConfirmation the round of its LeaderAnnouncement. peer.capnp defines the encoding, and
+// peer_codec.h implements it.
 #pragma once
 
 #include <cstdint>
@@ -14,82 +16,88 @@
 
 namespace seampass::rpc {
 
-// To the leader: the sender has accepted a job, which is in the state service.
+// Tells the leader that the sender has accepted a job, whose record is in the state service.
 struct JobAccepted {
   std::string id;
   std::string record;         // the value of the job's key
   std::uint64_t version = 0;  // of that key
 };
 
-// To the leader: a user's status query, cancellation or (with a record) a submission that the
-// sender could not write itself.
+// Asks the leader to answer a user's status query, to cancel a job or (with a record) to accept a
+// submission that the sender could not write to the state service itself.
 struct JobRequest {
-  std::uint64_t number = 0;  // chosen by the sender, which knows the reply by it
+  std::uint64_t number = 0;  // chosen by the sender, which uses it to match the reply
   std::string id;
   bool cancel = false;
-  std::string record;  // not empty: accept this job
+  std::string record;  // not empty: the leader is asked to accept this job
 };
 
-// What a leader knows of a job. Its order is that of the schema's enum.
+// The result of a leader's search for a job. The enumerators stand in the order of the enum in
+// peer.capnp, because the codec converts them by value.
 enum class Lookup {
-  unavailable,  // the node does not lead, or can't tell now
+  unavailable,  // the node does not lead, or cannot answer now
   found,
-  not_found  // no such job: a read of the state service said so
+  not_found  // a read of the state service has shown that no such job exists
 };
 
-// The answer to a JobRequest.
+// The leader's answer to a JobRequest.
 struct JobReply {
   std::uint64_t number = 0;
   Lookup lookup = Lookup::unavailable;
-  wire::JobStatus status;  // without the job's id, which is not sent
-  bool fresh = false;      // the submission created the job
+  wire::JobStatus status;  // its id is empty, since the id is not sent
+  bool fresh = false;      // the submission created the job, which did not exist before
 };
 
-// The sender leads with this epoch. A node that the state service does not answer learns it from
-// this message alone.
+// Announces that the sender leads with this epoch. A node that gets no answer from the state
+// service learns of a leader only from this message.
 struct LeaderAnnouncement {
   std::uint64_t epoch = 0;
-  std::uint64_t round = 0;  // not 0: an EpochConfirmation is requested
+  std::uint64_t round = 0;  // not 0: the receiver answers with an EpochConfirmation
 };
 
-// A round that belongs to no election: it is asked only for the version that the answer carries.
+// The round of an announcement that asks only for the version of the peer's program, which the
+// answer's Envelope states. The election never uses this number for a round of its own.
 inline constexpr std::uint64_t kVersionRound = std::numeric_limits<std::uint64_t>::max();
 
 // The answer to a LeaderAnnouncement with a round.
 struct EpochConfirmation {
   std::uint64_t round = 0;
-  std::uint64_t epoch = 0;  // the highest that the sender knows any node to have led with
-  std::int64_t up_ms = 0;   // for how long the sender's process has been up
+  std::uint64_t epoch = 0;  // the highest epoch of any leader that the sender knows of
+  std::int64_t up_ms = 0;   // ms since the sender's process started
 };
 
 using Message =
     std::variant<JobAccepted, JobRequest, JobReply, LeaderAnnouncement, EpochConfirmation>;
 
-// Versions of the program that peers tell apart. Each can serve beside the one before it.
+// The version of a controller's program, as far as its peers have to distinguish it. Controllers of
+// consecutive versions can run side by side.
 using PeerVersion = std::uint16_t;
-// States no version; knows no dependencies between jobs and only the chunk layout of task records.
+// A program that states no version. It supports no dependencies between jobs, and only the chunk
+// layout of task records.
 inline constexpr PeerVersion kVersionUnsaid = 0;
-// Knows dependencies, and the segment layout of task records.
+// Supports dependencies between jobs, and the segment layout of task records.
 inline constexpr PeerVersion kVersionSegments = 1;
 inline constexpr PeerVersion kOwnVersion = kVersionSegments;
 
-// A message as it arrives: with the version of the program that sent it.
+// A received message, with the version of the program that sent it.
 struct Envelope {
   PeerVersion version = kVersionUnsaid;
   Message message;
 };
 
+// Handles a received message; `from` is the name of the node that sent it.
 using Receive = std::function<void(const std::string& from, const Envelope&)>;
 
-// Carries messages to the other controllers, which it knows by their nodes' names.
+// Carries messages between this controller and the others, which it addresses by their node names.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
-  // Best effort, in order while a connection lasts. Nothing is sent to an unknown node.
+  // Sends a message without a guarantee that it arrives. Messages arrive in order while a
+  // connection lasts. A message to an unknown node is discarded.
   virtual void send(const std::string& node, const Message& message) = 0;
-  // Closes the connection to a node that seems stuck; the next message opens another.
+  // Closes the connection to a node that seems stuck. A later message opens a new connection.
   virtual void reset(const std::string& node) = 0;
-  // What is called with each message that arrives, from then on.
+  // Sets the handler that is called with each message that arrives from then on.
   virtual void on_receive(Receive receive) = 0;
 };
 
--- a/src/rpc/peer_codec.cc
+++ b/src/rpc/peer_codec.cc
@@ -11,8 +11,8 @@
 namespace seampass::rpc {
 namespace {
 
-// Writing: an overload for each message. The order in which texts are set is the order in which
-// they stand in the frame.
+// write() has an overload for each type of message. Texts stand in the encoded message in the order
+// in which they are set, so this order must not change: the Formats tests compare the bytes.
 
 void write(schema::Envelope::Builder& envelope, const JobAccepted& accepted) {
   auto builder = envelope.initJobAccepted();
@@ -52,7 +52,7 @@
   builder.setUpMs(confirmation.up_ms);
 }
 
-// Reading: likewise.
+// read() has an overload for each type of message.
 
 JobAccepted read(const schema::JobAccepted::Reader& reader) {
   return {reader.getId(), reader.getRecord(), reader.getVersion()};
@@ -66,7 +66,7 @@
   const auto lookup = static_cast<unsigned>(reader.getLookup());
   if (lookup > static_cast<unsigned>(Lookup::not_found) ||
       reader.getStage() > static_cast<unsigned>(wire::Stage::cancelled))
-    throw std::runtime_error("bad peer answer");
+    throw std::runtime_error("job reply from a peer has an unknown lookup result or stage");
   JobReply reply;
   reply.number = reader.getNumber();
   reply.lookup = static_cast<Lookup>(lookup);
@@ -85,7 +85,7 @@
   return {reader.getRound(), reader.getEpoch(), reader.getUpMs()};
 }
 
-Message message_in(const schema::Envelope::Reader& envelope) {
+Message read_message(const schema::Envelope::Reader& envelope) {
   switch (envelope.which()) {
     case schema::Envelope::JOB_ACCEPTED:
       return read(envelope.getJobAccepted());
@@ -98,7 +98,7 @@
     case schema::Envelope::EPOCH_CONFIRMATION:
       return read(envelope.getEpochConfirmation());
   }
-  throw std::runtime_error("unknown peer message");
+  throw std::runtime_error("message from a peer has an unknown type");
 }
 
 }  // namespace
@@ -115,16 +115,17 @@
 
 Envelope decode(std::string_view bytes) {
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
-    throw std::runtime_error("bad peer frame");
-  // A copy, since the words must be aligned.
+    throw std::runtime_error("message from a peer is empty or not a whole number of words");
+  // Copies the bytes, because Cap'n Proto requires aligned words.
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), bytes.size());
   try {
     capnp::FlatArrayMessageReader reader(words);
     const auto envelope = reader.getRoot<schema::Envelope>();
-    return {envelope.getVersion(), message_in(envelope)};
+    return {envelope.getVersion(), read_message(envelope)};
   } catch (const kj::Exception& error) {
-    throw std::runtime_error(std::string("bad peer message: ") + error.getDescription().cStr());
+    throw std::runtime_error(std::string("malformed message from a peer: ") +
+                             error.getDescription().cStr());
   }
 }
 
--- a/src/rpc/peer_codec.h
+++ b/src/rpc/peer_codec.h
@@ -1,7 +1,7 @@
-// Messages between controllers to and from Cap'n Proto bytes (peer.capnp).
+// Converts the messages between controllers to and from Cap'n Proto bytes (peer.capnp).
 //
-// During an upgrade controllers of the previous version read and write the same bytes: the Formats
-// tests hold them as literals.
+// During an upgrade, controllers of the previous version read and write the same bytes. The Formats
+// tests therefore compare the bytes with literals.
 #pragma once
 
 #include <string>
@@ -11,9 +11,9 @@
 
 namespace seampass::rpc {
 
-// With the version of this program.
+// Encodes a message in an Envelope that states this program's version (kOwnVersion).
 [[nodiscard]] std::string encode(const Message& message);
-// Throws std::runtime_error on anything malformed.
+// Throws std::runtime_error if the bytes are malformed.
 Envelope decode(std::string_view bytes);
 
 }  // namespace seampass::rpc
--- a/src/rpc/peer_connections.cc
+++ b/src/rpc/peer_connections.cc
@@ -6,10 +6,12 @@
 namespace seampass::rpc {
 namespace {
 
+// Maximum number of bytes that wait to be sent on one connection.
 constexpr std::size_t kMaxQueuedBytes = 1U << 20;
-constexpr std::size_t kDiscardedBytes = 64;  // read at once where nothing is expected
+// Size of the buffer for a connection on which the peer should send nothing.
+constexpr std::size_t kDiscardBufferBytes = 64;
 
-// A write on its way; libuv needs both until it has been made.
+// A write that libuv has not completed. Both members must live until then.
 struct WriteRequest {
   uv_write_t request{};
   std::string data;
@@ -40,12 +42,12 @@
   if (closing_) return;
   if (status != 0) return on_failed_();
   connected_ = true;
-  // Nothing comes back on this connection but its end.
+  // The peer sends nothing on this connection. It is read only to detect that it has ended.
   uv_read_start(
       stream(),
       [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-        static std::array<char, kDiscardedBytes> sink;
-        *buffer = uv_buf_init(sink.data(), sink.size());
+        static std::array<char, kDiscardBufferBytes> discarded;
+        *buffer = uv_buf_init(discarded.data(), discarded.size());
       },
       [](uv_stream_t* stream, ssize_t size, const uv_buf_t*) {
         if (size < 0) static_cast<OutgoingConnection*>(stream->data)->on_failed_();
@@ -69,7 +71,7 @@
     const std::unique_ptr<WriteRequest> written(static_cast<WriteRequest*>(request->data));
   });
   if (error != 0) return on_failed_();
-  (void)write.release();  // the callback above owns it now
+  (void)write.release();  // the callback above frees it
 }
 
 void OutgoingConnection::close() {
@@ -105,7 +107,7 @@
 void IncomingConnection::on_read(std::string_view bytes) {
   frames_.append(bytes);
   try {
-    // What a frame leads to may close this connection.
+    // Handling a frame may close this connection.
     while (!closing_) {
       const auto payload = frames_.next();
       if (!payload) return;
@@ -119,7 +121,7 @@
 void IncomingConnection::on_frame(std::string_view payload) {
   if (!node_.empty()) return callbacks_.on_payload(node_, payload);
   node_ = payload;
-  if (!callbacks_.on_node(node_)) callbacks_.on_failed(this);
+  if (!callbacks_.on_peer_name(node_)) callbacks_.on_failed(this);
 }
 
 void IncomingConnection::close() {
--- a/src/rpc/peer_connections.h
+++ b/src/rpc/peer_connections.h
@@ -1,5 +1,6 @@
-// One connection between two controllers: opened by this node, which only sends on it, or by its
-// peer, from which this node only reads. Both belong to a PeerLink and run on its loop.
+// The two kinds of connections between controllers. This node opens an OutgoingConnection and only
+// sends on it. A peer opens an IncomingConnection, and this node only reads from it. PeerLink owns
+// both; they run on its loop.
 #pragma once
 
 #include <uv.h>
@@ -16,8 +17,9 @@
 
 namespace seampass::rpc {
 
-// libuv refers to a connection until it is closed: its owner begins to close it, and the loop frees
-// it. Nothing is called back from then on.
+// Deletes a connection in two steps, because libuv uses it until it is closed: the owner starts to
+// close it, and the loop frees it once it is closed. The connection calls no callbacks after the
+// first step.
 struct CloseConnection {
   template <typename Connection>
   void operator()(Connection* connection) const {
@@ -25,19 +27,20 @@
   }
 };
 template <typename Connection>
-using Owned = std::unique_ptr<Connection, CloseConnection>;
+using ConnectionPtr = std::unique_ptr<Connection, CloseConnection>;
 
 class OutgoingConnection {
  public:
-  // `first_frame` is sent before all others. `on_failed`: the connection is of no use any more, and
-  // its owner has to let it go.
+  // The connection sends `first_frame` before all other frames. It calls `on_failed` when it can no
+  // longer be used; the owner must then close it.
   OutgoingConnection(net::Loop& loop, std::string first_frame, std::function<void()> on_failed);
   OutgoingConnection(const OutgoingConnection&) = delete;
   OutgoingConnection& operator=(const OutgoingConnection&) = delete;
 
   void connect(const std::string& endpoint);
-  // Sends a frame now or, while the connection is being made, once it is there. One whose peer does
-  // not read fails.
+  // Sends a frame, or queues it until the connection is established. The connection discards the
+  // frame if too many bytes are queued before then. An established connection fails if too many
+  // bytes wait to be sent because its peer does not read.
   void send(std::string frame);
   void close();
 
@@ -50,18 +53,20 @@
   uv_tcp_t tcp_{};
   uv_connect_t connect_request_{};
   std::function<void()> on_failed_;
-  std::string queued_;  // until the connection is made
+  std::string queued_;  // frames that wait until the connection is established
   bool connected_ = false;
   bool closing_ = false;
 };
 
 class IncomingConnection {
  public:
-  // What its owner does with it. `on_node` is called first, with the name that the peer gives;
-  // false refuses it. `on_payload` is called with each later frame's payload, and may throw
-  // std::runtime_error if it is malformed. `on_failed` as above.
+  // The owner's callbacks. The connection calls `on_peer_name` first, with the node name that the
+  // peer sends; if it returns false, the connection fails. It calls `on_payload` with the payload
+  // of each later frame; the callback may throw std::runtime_error if the payload is malformed, and
+  // the connection then fails. It calls `on_failed` when it can no longer be used; the owner must
+  // then close it.
   struct Callbacks {
-    std::function<bool(const std::string& node)> on_node;
+    std::function<bool(const std::string& node)> on_peer_name;
     std::function<void(const std::string& node, std::string_view payload)> on_payload;
     std::function<void(IncomingConnection*)> on_failed;
   };
@@ -70,7 +75,7 @@
   IncomingConnection(const IncomingConnection&) = delete;
   IncomingConnection& operator=(const IncomingConnection&) = delete;
 
-  // False if the connection that waits at the listener could not be had.
+  // Accepts the connection that waits at the listener. Returns false if that fails.
   [[nodiscard]] bool accept(uv_stream_t* listener);
   void start_reading();
   void close();
@@ -85,7 +90,7 @@
 
   uv_tcp_t tcp_{};
   Callbacks callbacks_;
-  std::string node_;  // empty until the peer has given it
+  std::string node_;  // the peer's name; empty until the peer has sent it
   FrameReader frames_;
   std::array<char, kBufferBytes> buffer_{};
   bool closing_ = false;
--- a/src/rpc/peer_frames.cc
+++ b/src/rpc/peer_frames.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string framed(std::string_view payload) {
+std::string encode_frame(std::string_view payload) {
   const auto length = static_cast<std::uint32_t>(payload.size());
   std::string frame;
   frame.reserve(kLengthBytes + payload.size());
@@ -32,7 +32,8 @@
   const std::size_t available = data_.size() - consumed_;
   if (available >= kLengthBytes) {
     const std::size_t length = length_at(data_.data() + consumed_);
-    if (length > kMaxFrame) throw std::runtime_error("peer frame too large");
+    if (length > kMaxPayloadBytes)
+      throw std::runtime_error("length of a frame from a peer exceeds the maximum");
     if (available - kLengthBytes >= length) {
       const std::string_view payload(data_.data() + consumed_ + kLengthBytes, length);
       consumed_ += kLengthBytes + length;
--- a/src/rpc/peer_frames.h
+++ b/src/rpc/peer_frames.h
@@ -1,5 +1,5 @@
-// How messages are told apart on a connection between controllers: a frame is four bytes with the
-// length of what follows, the lowest first, and that many bytes.
+// The framing of messages on a connection between controllers. A frame consists of four bytes with
+// the length of the payload in bytes, the least significant byte first, and of the payload.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +9,26 @@
 
 namespace seampass::rpc {
 
-// A job's record, the largest part of any message, is below a request body's 64 KiB.
-inline constexpr std::size_t kMaxFrame = 256U << 10;
+// Maximum length of a payload in bytes. A job's record is the largest part of any message, and is
+// smaller than the 64 KiB to which the body of a request is limited.
+inline constexpr std::size_t kMaxPayloadBytes = 256U << 10;
 
-[[nodiscard]] std::string framed(std::string_view payload);
+// Returns the frame that carries this payload.
+[[nodiscard]] std::string encode_frame(std::string_view payload);
 
-// Takes bytes as they are read, and gives the payloads of the frames that are complete.
+// Splits the bytes read from a connection into frames, and returns the payloads of complete frames.
+// Each IncomingConnection owns a FrameReader.
 class FrameReader {
  public:
   void append(std::string_view bytes) { data_.append(bytes); }
-  // The next complete frame's payload, which is valid until the next call; none if more bytes are
-  // needed. Throws std::runtime_error if a frame claims more than kMaxFrame.
+  // Returns the payload of the next complete frame, or none if more bytes are needed. The payload
+  // is valid until the next call of append() or next(). Throws std::runtime_error if the length in
+  // a frame exceeds kMaxPayloadBytes.
   [[nodiscard]] std::optional<std::string_view> next();
 
  private:
   std::string data_;
-  std::size_t consumed_ = 0;  // bytes of data_ that were given out
+  std::size_t consumed_ = 0;  // bytes of data_ that belong to frames already returned
 };
 
 }  // namespace seampass::rpc
--- a/src/rpc/peer_link.cc
+++ b/src/rpc/peer_link.cc
@@ -8,9 +8,9 @@
 namespace seampass::rpc {
 namespace {
 
-constexpr std::size_t kMaxIncoming = 64;
+constexpr std::size_t kMaxIncomingConnections = 64;
 constexpr int kListenBacklog = 16;
-// From a connection's end to the next attempt.
+// Time in ms from the end of a connection to the next attempt to connect.
 constexpr net::Ms kReconnectDelay = 250;
 
 }  // namespace
@@ -27,7 +27,7 @@
   incoming_.clear();
   uv_close(reinterpret_cast<uv_handle_t*>(listener_),
            [](uv_handle_t* handle) { delete reinterpret_cast<uv_tcp_t*>(handle); });
-  uv_run(loop_.raw(), UV_RUN_NOWAIT);  // frees what was closed
+  uv_run(loop_.raw(), UV_RUN_NOWAIT);  // lets the loop free the handles that were closed above
 }
 
 void PeerLink::listen(const std::string& endpoint) {
@@ -45,7 +45,7 @@
 void PeerLink::accept() {
   IncomingConnection* connection = add_incoming();
   if (!connection->accept(reinterpret_cast<uv_stream_t*>(listener_)) ||
-      incoming_.size() > kMaxIncoming) {
+      incoming_.size() > kMaxIncomingConnections) {
     incoming_.erase(connection);
     return;
   }
@@ -54,7 +54,7 @@
 
 IncomingConnection* PeerLink::add_incoming() {
   auto* connection = new IncomingConnection(
-      loop_, {.on_node = [this](const std::string& node) { return peers_.contains(node); },
+      loop_, {.on_peer_name = [this](const std::string& node) { return peers_.contains(node); },
               .on_payload =
                   [this](const std::string& node, std::string_view payload) {
                     const Envelope envelope = decode(payload);
@@ -68,7 +68,7 @@
 void PeerLink::connect(Peer& peer) {
   if (loop_.now() < peer.retry_at) return;
   peer.connection.reset(
-      new OutgoingConnection(loop_, framed(self_), [this, &peer] { drop_connection(peer); }));
+      new OutgoingConnection(loop_, encode_frame(self_), [this, &peer] { drop_connection(peer); }));
   peer.connection->connect(peer.endpoint);
 }
 
@@ -82,7 +82,7 @@
   if (it == peers_.end()) return;
   Peer& peer = it->second;
   if (!peer.connection) connect(peer);
-  if (peer.connection) peer.connection->send(framed(encode(message)));
+  if (peer.connection) peer.connection->send(encode_frame(encode(message)));
 }
 
 void PeerLink::reset(const std::string& node) {
--- a/src/rpc/peer_link.h
+++ b/src/rpc/peer_link.h
@@ -1,8 +1,10 @@
-// The transport between controllers: Cap'n Proto messages over libuv sockets. Each node connects to
-// every other; on the connections that it has opened it sends, on those that it has accepted it
-// reads. The first frame on a connection is the name of the node that opened it.
+// PeerLink is the transport between controllers: it carries Cap'n Proto messages over libuv
+// sockets. Each node connects to every other node. It sends on the connections that it has opened,
+// and reads from those that it has accepted. The first frame on a connection is the name of the
+// node that opened it.
 //
-// Owns the listener and all connections. An actor on its loop.
+// PeerLink owns the listener and all connections. It is an actor that runs on its loop; a message
+// that cannot be sent is discarded without an error.
 #pragma once
 
 #include <map>
@@ -24,7 +26,7 @@
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  // Throws std::runtime_error if the address can't be had.
+  // Throws std::runtime_error if the node cannot listen on this address.
   void listen(const std::string& endpoint);
   void send(const std::string& node, const Message& message) override;
   void reset(const std::string& node) override;
@@ -33,8 +35,8 @@
  private:
   struct Peer {
     std::string endpoint;
-    Owned<OutgoingConnection> connection;
-    net::Ms retry_at = 0;  // no connection is opened before then
+    ConnectionPtr<OutgoingConnection> connection;
+    net::Ms retry_at = 0;  // no connection is opened before this time
   };
   void connect(Peer& peer);
   void drop_connection(Peer& peer);
@@ -44,8 +46,8 @@
   net::Loop& loop_;
   std::string self_;
   std::map<std::string, Peer> peers_;
-  std::unordered_map<IncomingConnection*, Owned<IncomingConnection>> incoming_;
-  uv_tcp_t* listener_;  // freed by the loop once it is closed
+  std::unordered_map<IncomingConnection*, ConnectionPtr<IncomingConnection>> incoming_;
+  uv_tcp_t* listener_;  // the loop frees it once it is closed
   Receive receive_;
 };
 
--- a/tests/peer_frames_test.cc
+++ b/tests/peer_frames_test.cc
@@ -1,4 +1,5 @@
-// rpc::FrameReader: frames are found however their bytes arrive.
+// encode_frame() and FrameReader: the reader finds the frames no matter how their bytes are divided
+// among several reads.
 #include "rpc/peer_frames.h"
 
 #include <gtest/gtest.h>
@@ -11,13 +12,13 @@
 
 using namespace std::string_literals;
 
-TEST(PeerFrames, ALengthIsFourBytesWithTheLowestFirst) {
-  EXPECT_EQ(framed("abc"), "\x03\x00\x00\x00"s + "abc");
-  EXPECT_EQ(framed(std::string(258, 'x')).substr(0, 4), "\x02\x01\x00\x00"s);
+TEST(PeerFrames, ALengthIsFourBytesInLittleEndianOrder) {
+  EXPECT_EQ(encode_frame("abc"), "\x03\x00\x00\x00"s + "abc");
+  EXPECT_EQ(encode_frame(std::string(258, 'x')).substr(0, 4), "\x02\x01\x00\x00"s);
 }
 
-TEST(PeerFrames, FramesAreFoundByteByByteAndAllAtOnce) {
-  const std::string bytes = framed("one") + framed("") + framed("three");
+TEST(PeerFrames, FindsFramesInReadsOfAnySize) {
+  const std::string bytes = encode_frame("one") + encode_frame("") + encode_frame("three");
   for (const std::size_t step : {std::size_t{1}, std::size_t{5}, bytes.size()}) {
     FrameReader reader;
     std::vector<std::string> payloads;
@@ -29,9 +30,9 @@
   }
 }
 
-TEST(PeerFrames, AFrameAboveTheBoundIsRefusedBeforeItHasArrived) {
+TEST(PeerFrames, RejectsATooLargeFrameOnceItsLengthIsRead) {
   FrameReader reader;
-  reader.append(framed(std::string(kMaxFrame + 1, 'x')).substr(0, 4));
+  reader.append(encode_frame(std::string(kMaxPayloadBytes + 1, 'x')).substr(0, 4));
   EXPECT_THROW((void)reader.next(), std::runtime_error);
 }
 
--- a/tests/rpc_test.cc
+++ b/tests/rpc_test.cc
@@ -1,3 +1,6 @@
+// encode() and decode() of the messages between controllers: decoding restores an encoded message,
+// and malformed bytes cause no exception other than std::runtime_error, the only one that
+// IncomingConnection catches.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -7,57 +10,58 @@
 namespace seampass::rpc {
 namespace {
 
-std::vector<Message> samples() {
-  JobReply a;
-  a.number = 9;
-  a.lookup = Lookup::found;
-  a.status.stage = wire::Stage::running;
-  a.status.done = 3;
-  a.status.running = 1ull << 40;
-  return {JobAccepted{"wk-1", R"({"job":{}})", 77}, JobRequest{12, "wk-2", true, "{}"}, a,
+std::vector<Message> sample_messages() {
+  JobReply reply;
+  reply.number = 9;
+  reply.lookup = Lookup::found;
+  reply.status.stage = wire::Stage::running;
+  reply.status.done = 3;
+  reply.status.running = 1ull << 40;
+  return {JobAccepted{"wk-1", R"({"job":{}})", 77}, JobRequest{12, "wk-2", true, "{}"}, reply,
           LeaderAnnouncement{5, 6}, EpochConfirmation{7, 8, 9}};
 }
 
-TEST(Rpc, MessagesComeBackAsTheyWent) {
-  const auto list = samples();
-  const auto back = [](const Message& m) {
-    const std::string s = encode(m);
-    return decode(s).message;
+TEST(Rpc, DecodeRestoresAnEncodedMessage) {
+  const auto messages = sample_messages();
+  const auto round_trip = [](const Message& message) {
+    const std::string bytes = encode(message);
+    return decode(bytes).message;
   };
-  const auto accepted = std::get<JobAccepted>(back(list[0]));
+  const auto accepted = std::get<JobAccepted>(round_trip(messages[0]));
   EXPECT_EQ(accepted.id, "wk-1");
   EXPECT_EQ(accepted.record, R"({"job":{}})");
   EXPECT_EQ(accepted.version, 77u);
-  const auto ask = std::get<JobRequest>(back(list[1]));
-  EXPECT_EQ(ask.number, 12u);
-  EXPECT_TRUE(ask.cancel);
-  EXPECT_EQ(ask.record, "{}");
-  EXPECT_EQ(std::get<LeaderAnnouncement>(back(list[3])).round, 6u);
-  EXPECT_EQ(std::get<EpochConfirmation>(back(list[4])).up_ms, 9);
-  const auto answer = std::get<JobReply>(back(list[2]));
-  EXPECT_EQ(answer.lookup, Lookup::found);
-  EXPECT_EQ(answer.status.stage, wire::Stage::running);
-  EXPECT_EQ(answer.status.running, 1ull << 40);
+  const auto request = std::get<JobRequest>(round_trip(messages[1]));
+  EXPECT_EQ(request.number, 12u);
+  EXPECT_TRUE(request.cancel);
+  EXPECT_EQ(request.record, "{}");
+  EXPECT_EQ(std::get<LeaderAnnouncement>(round_trip(messages[3])).round, 6u);
+  EXPECT_EQ(std::get<EpochConfirmation>(round_trip(messages[4])).up_ms, 9);
+  const auto reply = std::get<JobReply>(round_trip(messages[2]));
+  EXPECT_EQ(reply.lookup, Lookup::found);
+  EXPECT_EQ(reply.status.stage, wire::Stage::running);
+  EXPECT_EQ(reply.status.running, 1ull << 40);
 }
 
-TEST(Rpc, MutatedFramesAreRefusedOrRead) {
+TEST(Rpc, DecodesMutatedBytesOrThrowsRuntimeError) {
   std::mt19937 random(77);
-  int refused = 0;
-  for (const Message& m : samples()) {
-    const std::string good = encode(m);
+  int rejected = 0;
+  for (const Message& message : sample_messages()) {
+    const std::string encoded = encode(message);
     for (int i = 0; i < 2000; ++i) {
-      std::string s = good;
-      for (unsigned e = 0; e <= random() % 4; ++e)
-        s[random() % s.size()] = static_cast<char>(random());
-      if (random() % 5 == 0) s.resize(random() % (s.size() + 1));
+      std::string bytes = encoded;
+      for (unsigned edit = 0; edit <= random() % 4; ++edit)
+        bytes[random() % bytes.size()] = static_cast<char>(random());
+      if (random() % 5 == 0) bytes.resize(random() % (bytes.size() + 1));
       try {
-        decode(s);
+        decode(bytes);
       } catch (const std::runtime_error&) {
-        ++refused;
+        ++rejected;
       }
     }
   }
-  EXPECT_GT(refused, 500);
+  // Checks that the mutations do produce malformed messages.
+  EXPECT_GT(rejected, 500);
 }
 
 }  // namespace
