--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,4 +1,5 @@
-// All of the wire's codecs, for those that speak with more than one kind of peer.
+// Includes all codecs of this folder, for code that exchanges messages with more than one kind of
+// program (users, workers, the cloud).
 #pragma once
 
 #include "wire/cloud_codec.h"   // IWYU pragma: export
--- a/src/wire/json_fields.cc
+++ b/src/wire/json_fields.cc
@@ -5,23 +5,23 @@
 namespace seampass::wire {
 namespace {
 
-constexpr int kMaxDepth = 64;
+constexpr int kMaxNestingDepth = 64;
 
-// The depth is bounded before anything is parsed: the parser recurses, and a body of 64 KiB of
-// opening brackets would exhaust the stack.
+// Checks the nesting depth before the text is parsed. The parser recurses once per level, so a 64
+// KiB body of opening brackets would exhaust the stack.
 bool nested_too_deeply(std::string_view text) {
   int depth = 0;
-  bool quoted = false;
+  bool in_string = false;
   for (std::size_t i = 0; i < text.size(); ++i) {
-    const char symbol = text[i];
-    if (quoted) {
-      if (symbol == '\\') ++i;
-      if (symbol == '"') quoted = false;
-    } else if (symbol == '"') {
-      quoted = true;
-    } else if (symbol == '{' || symbol == '[') {
-      if (++depth > kMaxDepth) return true;
-    } else if (symbol == '}' || symbol == ']') {
+    const char character = text[i];
+    if (in_string) {
+      if (character == '\\') ++i;
+      if (character == '"') in_string = false;
+    } else if (character == '"') {
+      in_string = true;
+    } else if (character == '{' || character == '[') {
+      if (++depth > kMaxNestingDepth) return true;
+    } else if (character == '}' || character == ']') {
       --depth;
     }
   }
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -1,7 +1,7 @@
-// The messages that users, workers and the cloud exchange with controllers, as plain structures
-// under the field's own terms. What the members are called on the wire is known to the codecs of
-// this folder alone. Times end in _s (seconds), sizes in _gb; resources are those of one task or
-// one machine.
+// The messages that users, workers and the cloud exchange with controllers, as plain structures.
+// Their members have descriptive names; only the codecs of this folder know the JSON member names.
+// Members whose names end in _s are times in seconds, those in _gb are sizes in GB. CPUs, GPUs and
+// memory are per task or per machine.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,32 @@
 
 namespace seampass::wire {
 
-// array: independent tasks, each runs to completion. gang: all tasks run at the same time, or none.
-// service: replicas that run until the job is cancelled.
+// array: independent tasks, each of which runs to completion. gang: tasks that run all at the same
+// time or not at all. service: replicas that run until the job is cancelled.
 enum class JobKind { array, gang, service };
 enum class Priority { critical, high, normal, low };
-// Of a job. The last two are final.
+// Stage of a job. `done` and `cancelled` are final.
 enum class Stage { queued, running, done, cancelled };
-// Of an attempt on its machine. fetching: waits for its image. waiting: for the rest of its gang.
-// saving: was told to stop, and writes a checkpoint.
+// State of an attempt on its machine. fetching: the worker fetches the task's image. waiting: the
+// attempt waits for the other tasks of its gang. saving: the attempt has received a stop command
+// and writes a checkpoint.
 enum class TaskState { fetching, waiting, running, saving, exited };
-// Why an attempt exited. stopped: by command. peers: another task of its gang is gone. alone: its
-// gang was not complete in time. error: it failed. no_room, busy and unknown: its start was
-// refused, since the machine is full, runs another attempt of the task, or can't get the job's
-// description. none: it has not exited; never sent.
+// Why an attempt exited. done: it completed. stopped: a command stopped it. peers: another task of
+// its gang is gone. alone: its gang was not complete in time. error: it failed. no_room, busy and
+// unknown: the worker refused to start it, because the machine has too little free capacity
+// (no_room), runs another attempt of the same task (busy) or cannot get the job's description
+// (unknown). none: it has not exited; this value is never sent.
 enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
-// forget: the worker drops what it knows of an attempt that has exited.
+// What a command asks the worker to do. start and stop: start or stop the attempt. forget: delete
+// the worker's record of an attempt that has exited.
 enum class Verb { start, stop, forget };
 
-inline constexpr std::uint32_t kMaxTasks = 100000;  // of one job
+inline constexpr std::uint32_t kMaxTasks = 100000;  // per job
 
-// A job as it is submitted. It never changes afterwards.
+// A job as submitted by a user. It never changes after its submission.
 struct Job {
-  std::string id;  // "wk-" and digits, chosen by the user: submissions are idempotent
+  // "wk-" and digits. The user chooses it, so that a repeated submission is idempotent.
+  std::string id;
   std::string job_class;
   std::string team;
   JobKind kind = JobKind::array;
@@ -43,96 +47,101 @@
   double memory_gb = 0;
   std::string image;
   double image_gb = 0;
-  std::optional<std::vector<std::string>> types;  // machine types that are allowed; none: all
-  std::optional<std::string> zone;                // where all its tasks have to run
-  bool one_zone = false;                          // its tasks have to run in the same zone
-  bool spread = false;      // at most half of its tasks, rounded up, in one zone
-  bool spot = false;        // may run on spot machines
-  double estimate_s = 0;    // how long a task runs, without its image fetch; 0 for services
-  double checkpoint_s = 0;  // progress between two checkpoints; 0: none are written
-  double save_s = 0;        // that a task needs for a checkpoint when it is stopped
-  std::optional<double> deadline_s;       // after its submission
-  std::vector<std::string> dependencies;  // jobs that have to be done first; each named once
+  std::optional<std::vector<std::string>> types;  // allowed machine types; nullopt: all
+  std::optional<std::string> zone;                // the only zone for its tasks; nullopt: any
+  bool one_zone = false;                          // all its tasks must run in the same zone
+  bool spread = false;      // each zone runs at most half of its tasks, rounded up
+  bool spot = false;        // its tasks may run on spot machines
+  double estimate_s = 0;    // estimated run time of a task without its image fetch; 0 for services
+  double checkpoint_s = 0;  // run time between two checkpoints; 0: the job writes none
+  double save_s = 0;        // time that a task needs to write a checkpoint when it is stopped
+  std::optional<double> deadline_s;       // counted from the submission
+  std::vector<std::string> dependencies;  // ids of jobs that must be done first, no duplicates
 };
 
-// What users are told of a job.
+// A job's status as returned to users.
 struct JobStatus {
   std::string id;
   Stage stage = Stage::queued;
-  std::uint64_t done = 0;     // tasks
-  std::uint64_t running = 0;  // tasks
+  std::uint64_t done = 0;     // number of completed tasks
+  std::uint64_t running = 0;  // number of running tasks
 };
 
-// What a worker reports of one attempt.
+// The status of one attempt, as reported in a worker's heartbeat.
 struct TaskStatus {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
-  bool saved = false;  // it was stopped, and its progress saved
+  bool saved = false;  // the attempt was stopped and has written a checkpoint
 };
 
-// What a worker reports: at each interval, on changes, and in answer to commands and inspections.
+// A worker's heartbeat. The worker sends one at each heartbeat interval and whenever a status
+// changes, and returns one in response to commands and inspections.
 struct Heartbeat {
   std::string machine;
-  std::string addr;  // ADDRESS:PORT that takes commands
+  std::string addr;  // ADDRESS:PORT at which the worker accepts commands
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;   // from 1; larger after each expiry of its lease
-  std::uint64_t sequence = 0;      // larger with each report
-  std::uint64_t token = 0;         // the highest epoch that it has seen
-  std::optional<double> notice_s;  // the cloud will take the machine back after this long
+  std::uint64_t incarnation = 0;  // starts at 1; increases with each expiry of the worker's lease
+  std::uint64_t sequence = 0;     // increases with each heartbeat
+  std::uint64_t token = 0;        // the highest epoch (fencing token) that the worker has seen
+  // Preemption notice: the cloud will take the spot machine back after this time; nullopt: no
+  // notice.
+  std::optional<double> notice_s;
   std::vector<TaskStatus> tasks;
 };
 
-// What a worker has to do with one attempt.
+// A command to a worker about one attempt.
 struct Command {
   Verb verb = Verb::start;
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  double termination_grace_s = 0;  // of a stop: what a checkpoint may take
+  double termination_grace_s = 0;  // only for stop: time allowed for writing a checkpoint
 };
 
-// A kind of machine that the cloud offers.
+// A machine type that the cloud offers.
 struct MachineType {
   std::string name;
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
-  double cache_gb = 0;        // for images
-  double fetch_gb_per_s = 0;  // of images; 0: not said
-  double price = 0;           // an hour
-  double spot_price = 0;      // an hour; the price where none is said
-  double boot_s = 0;
-  std::vector<std::string> zones;  // where it is offered
+  double cache_gb = 0;             // size of the image cache
+  double fetch_gb_per_s = 0;       // rate at which images are fetched; 0: not specified
+  double price = 0;                // per hour
+  double spot_price = 0;           // per hour; equal to `price` if the cloud specifies none
+  double boot_s = 0;               // time from rental until the machine is ready
+  std::vector<std::string> zones;  // zones that offer this type
 };
 
-// Of a machine, as the cloud sees it.
+// Stage of a machine as the cloud reports it.
 enum class MachineStage { booting, running, failed };
 
-// A rented machine in the cloud's list.
+// A rented machine, as an entry of the cloud's machine list.
 struct ListedMachine {
   std::string name;
-  std::string addr;  // empty while it boots
+  std::string addr;  // empty while the machine boots
   std::string type;
   std::string zone;
   bool spot = false;
   MachineStage stage = MachineStage::booting;
-  double age_s = 0;  // since it was rented
+  double age_s = 0;  // time since the machine was rented
 };
 
-// A part of the cloud's list; the next part begins after the last name.
+// One page of the cloud's machine list. If `more` is set, further pages follow; the next one starts
+// after the name of the last machine of this page.
 struct MachinePage {
   std::vector<ListedMachine> machines;
   bool more = false;
 };
 
-// A request for machines.
+// A request to rent `count` machines of one type in one zone.
 struct Rental {
-  std::string request;  // its name: the same request, repeated, rents nothing more
+  // Idempotency key: repeating a request under the same name rents no additional machines.
+  std::string request;
   std::string type;
   std::string zone;
   bool spot = false;
--- a/src/wire/user_codec.cc
+++ b/src/wire/user_codec.cc
@@ -20,7 +20,7 @@
                                            {Stage::done, "done"},
                                            {Stage::cancelled, "withdrawn"}}};
 
-constexpr std::size_t kMaxTypes = 200;  // that a job may name
+constexpr std::size_t kMaxTypes = 200;  // machine types listed by one job
 
 std::string job_id_field(const Json& object, const char* name) {
   std::string id = text_field(object, name);
@@ -43,7 +43,7 @@
   return types;
 }
 
-// Ids in the order given, each once.
+// Reads a list of job ids and drops duplicates; the order is that of the first occurrences.
 std::vector<std::string> job_ids_field(const Json& object, const char* name) {
   std::vector<std::string> ids;
   std::unordered_set<std::string> seen;
@@ -65,14 +65,15 @@
 
 bool valid_job_id(std::string_view id) {
   constexpr std::string_view prefix = "wk-";
-  constexpr std::size_t longest = 40;
-  if (!id.starts_with(prefix) || id.size() == prefix.size() || id.size() > longest) return false;
+  constexpr std::size_t max_length = 40;
+  if (!id.starts_with(prefix) || id.size() == prefix.size() || id.size() > max_length) return false;
   id.remove_prefix(prefix.size());
   return std::all_of(id.begin(), id.end(),
-                     [](char symbol) { return symbol >= '0' && symbol <= '9'; });
+                     [](char character) { return character >= '0' && character <= '9'; });
 }
 
-// The order of the members decides which of several faults a user is told of.
+// Reads the members in a fixed order. If several members are invalid, the user gets the error of
+// the one that is read first.
 Job job_from(const Json& object) {
   Job job;
   job.id = job_id_field(object, "ref");
@@ -121,8 +122,9 @@
               {"rack_every_s", job.checkpoint_s},
               {"rack_s", job.save_s},
               {"due_s", null_unless_set(job.deadline_s)}};
-  // Left out where there are none: programs from before dependencies were known wrote such a job
-  // without this member, and its stored record must stay the same.
+  // Omits the member if the job has no dependencies. Program versions that predate dependencies
+  // write such a job without this member, and the job's stored record must be the same in all
+  // versions.
   if (!job.dependencies.empty()) object["waits_on"] = job.dependencies;
   return object;
 }
--- a/src/wire/user_codec.h
+++ b/src/wire/user_codec.h
@@ -1,5 +1,5 @@
-// What users send and are answered: jobs and their status. A job's JSON is also its form in the
-// state service. No I/O.
+// Decodes the jobs that users submit and encodes the responses about their status. The JSON form of
+// a job is also the form in which the state service stores it. Pure functions without I/O.
 #pragma once
 
 #include <string>
@@ -10,19 +10,21 @@
 
 namespace seampass::wire {
 
+// Whether `id` is "wk-" followed by digits, at most 40 characters in total.
 [[nodiscard]] bool valid_job_id(std::string_view id);
 
-// Throws Malformed, naming the first member that is wrong. Unknown members are ignored.
+// Decodes a job. Throws Malformed, which names the first invalid member. Ignores unknown members.
 [[nodiscard]] Job job_from(const Json& object);
 [[nodiscard]] Json to_json(const Job& job);
 
-// The body that answers a status query.
+// The response body for a status query.
 [[nodiscard]] std::string status_answer(const JobStatus& status);
-// The body that answers a submission or a cancellation.
+// The response body for a submission or a cancellation.
 [[nodiscard]] std::string accepted_answer(const JobStatus& status);
 
+// The name of a job's stage in JSON.
 [[nodiscard]] std::string_view stage_name(Stage stage);
-// Throws Malformed.
+// The stage with this JSON name. Throws Malformed if there is none.
 [[nodiscard]] Stage stage_from(std::string_view name);
 
 }  // namespace seampass::wire
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -28,7 +28,7 @@
 constexpr EnumNames<Verb, 3> kVerbNames{
     {{Verb::start, "run"}, {Verb::stop, "halt"}, {Verb::forget, "reap"}}};
 
-// A task is named "<job>/<index>".
+// Reads the name of a task, which has the form "<job>/<index>".
 std::pair<std::string, std::uint32_t> task_name_field(const Json& object, const char* name) {
   const std::string text = text_field(object, name);
   const auto slash = text.find('/');
@@ -37,8 +37,8 @@
   std::uint32_t index = 0;
   const char* begin = text.data() + slash + 1;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(begin, end, index);
-  if (error != std::errc() || stop != end || begin == end || index >= kMaxTasks)
+  const auto [parsed_end, error] = std::from_chars(begin, end, index);
+  if (error != std::errc() || parsed_end != end || begin == end || index >= kMaxTasks)
     throw Malformed(name, "bad number");
   return {text.substr(0, slash), index};
 }
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -1,4 +1,5 @@
-// What workers send and are sent: heartbeats, their answers, and commands. No I/O.
+// Decodes the heartbeats of workers; encodes the responses to them and the commands for workers.
+// Pure functions without I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +11,18 @@
 
 namespace seampass::wire {
 
-// Throws Malformed, naming the first member that is wrong. Unknown members are ignored.
+// Decodes a heartbeat. Throws Malformed, which names the first invalid member. Ignores unknown
+// members.
 [[nodiscard]] Heartbeat heartbeat_from(std::string_view text);
-// The leader's answer; `token` is its epoch.
+// The leader's response to a heartbeat. `token` is the leader's epoch.
 [[nodiscard]] std::string heartbeat_answer(std::uint64_t token,
                                            const std::vector<Command>& commands);
-// The answer of a node that does not lead: where to send heartbeats. `node` is empty if not known.
+// The response of a node that is not the leader: it names the node to which the worker should send
+// its heartbeats. `node` is empty if no leader is known.
 [[nodiscard]] std::string redirect_answer(const std::string& node);
 
-// Commands that are sent without a heartbeat, to the worker of this incarnation alone.
+// The body of a request that sends commands without waiting for a heartbeat. They are meant only
+// for this incarnation of the worker; `token` is the leader's epoch.
 [[nodiscard]] std::string commands_body(std::uint64_t token, std::uint64_t incarnation,
                                         const std::vector<Command>& commands);
 
