--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -1,4 +1,5 @@
-// The command line, logging and the real clock and transports.
+// Entry point of the program: parses the command line, sets up logging and runs one controller on
+// the real clock and the real transports.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <sys/resource.h>
@@ -21,11 +22,12 @@
 
 using namespace seampass;
 
-constexpr int kBadSettings = 2;  // exit status
-// Workers' connections last from one heartbeat to the next.
+constexpr int kExitBadSettings = 2;  // exit status for invalid settings or arguments
+// Path of workers' heartbeats. Workers keep their connections open from one heartbeat to the next.
 constexpr const char* kHeartbeatPath = "/checkin";
-// A request that takes longer than so many heartbeat intervals to arrive is cut off.
-constexpr double kSlowRequestIntervals = 3;
+// The server closes a connection on which a request takes longer than this to arrive completely, in
+// heartbeat intervals.
+constexpr double kRequestTimeoutIntervals = 3;
 
 void set_up_logging() {
   auto logger = spdlog::stderr_logger_st("seampass");
@@ -44,7 +46,7 @@
   limits.max_connections = budget.server_connections;
   limits.lasting_path = kHeartbeatPath;
   limits.idle = net::ms(settings.lease_s);
-  limits.slow = net::ms(settings.heartbeat_interval_s * kSlowRequestIntervals);
+  limits.slow = net::ms(settings.heartbeat_interval_s * kRequestTimeoutIntervals);
   return limits;
 }
 
@@ -86,7 +88,7 @@
   try {
     cli.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return cli.exit(error) == 0 ? 0 : kBadSettings;
+    return cli.exit(error) == 0 ? 0 : kExitBadSettings;
   }
   config::Settings settings;
   config::OperatorSettings operator_settings;
@@ -95,7 +97,7 @@
     if (!operator_file.empty()) operator_settings = config::load_operator(operator_file);
   } catch (const config::BadSettings& error) {
     std::cerr << "seampass: " << error.what() << "\n";
-    return kBadSettings;
+    return kExitBadSettings;
   }
   if (check) {
     std::cout << "settings are good\n";
--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -9,25 +9,29 @@
 
 namespace {
 
-// Parts of a heartbeat interval, as divisors.
-constexpr double kRequestTimeoutPart = 3;  // for the state service and workers
-constexpr double kCatalogRetryPart = 2;
-constexpr double kVersionRetryPart = 10;
-constexpr double kExtensionMarginPart = 3;
-// The cloud is slow to answer, and slower the lower its rate: so many requests' time at least.
+// Each of these times is a heartbeat interval divided by the constant.
+constexpr double kRequestTimeoutDivisor =
+    3;  // timeout of requests to the state service and workers
+constexpr double kCatalogRetryDivisor = 2;
+constexpr double kVersionRetryDivisor = 10;
+constexpr double kExtensionMarginDivisor = 3;
+// The cloud responds slowly, and the more slowly the lower its rate limit is. Its timeout is at
+// least the time in which its rate limit admits this many requests.
 constexpr double kCloudTimeoutRequests = 8;
-// Parts and multiples of a worker's lease.
-constexpr double kElectionTtlPart = 6;
-constexpr double kBetweenResignations = 2;
-constexpr double kCatalogRefresh = 2;
+// Times derived from a worker's lease: its duration divided by the first constant, or multiplied by
+// the other two.
+constexpr double kElectionTtlDivisor = 6;
+constexpr double kResignationIntervalLeases = 2;
+constexpr double kCatalogRefreshLeases = 2;
 
 leader::ElectionTimes election_times(const config::Settings& settings) {
-  // A small part of a worker's lease: a failover leaves workers most of theirs. The extension ends
-  // a margin before its bound.
-  return {.ttl = ms(settings.lease_s / kElectionTtlPart),
+  // The leader's lease lasts a small part of a worker's lease, so that most of the workers' leases
+  // remains after a failover. The lease extension must be shorter than cancel_s - lease_s; it ends
+  // a margin before that bound (docs/safety.md, "The lease extension and its bound").
+  return {.ttl = ms(settings.lease_s / kElectionTtlDivisor),
           .lease_extension = ms(settings.cancel_s - settings.lease_s -
-                                settings.heartbeat_interval_s / kExtensionMarginPart),
-          .between_resignations = ms(kBetweenResignations * settings.lease_s)};
+                                settings.heartbeat_interval_s / kExtensionMarginDivisor),
+          .between_resignations = ms(kResignationIntervalLeases * settings.lease_s)};
 }
 
 leader::RecordSpans record_spans(const config::Settings& settings) {
@@ -36,7 +40,7 @@
 }
 
 net::Ms request_timeout(const config::Settings& settings) {
-  return ms(settings.heartbeat_interval_s / kRequestTimeoutPart);
+  return ms(settings.heartbeat_interval_s / kRequestTimeoutDivisor);
 }
 
 net::Ms cloud_timeout(const config::Settings& settings) {
@@ -51,16 +55,17 @@
       operator_settings_(std::move(operator_settings)),
       budget_(ResourceBudget::for_settings(settings_)),
       peers_(peers),
-      state_(runtime, http, settings_.state, budget_.state_requests, budget_.state_changes,
-             request_timeout(settings_)),
-      cloud_(runtime, http, settings_.cloud, budget_.cloud_requests, cloud_timeout(settings_)),
-      catalog_(runtime, cloud_, ms(settings_.lease_s * kCatalogRefresh),
-               ms(settings_.heartbeat_interval_s / kCatalogRetryPart)),
+      state_(runtime, http, settings_.state, budget_.state_requests_per_s,
+             budget_.state_changes_per_s, request_timeout(settings_)),
+      cloud_(runtime, http, settings_.cloud, budget_.cloud_requests_per_s,
+             cloud_timeout(settings_)),
+      catalog_(runtime, cloud_, ms(settings_.lease_s * kCatalogRefreshLeases),
+               ms(settings_.heartbeat_interval_s / kCatalogRetryDivisor)),
       status_reader_(state_, budget_.cached_final_statuses),
       election_(runtime, state_, settings_.node, settings_.peers.size(), election_times(settings_),
                 election_callbacks()),
       cluster_(runtime, state_, settings_.peers, record_spans(settings_),
-               ms(settings_.heartbeat_interval_s / kVersionRetryPart)),
+               ms(settings_.heartbeat_interval_s / kVersionRetryDivisor)),
       leader_term_(runtime, state_, cloud_, catalog_,
                    workers::Client(http, request_timeout(settings_), budget_.commands_in_flight),
                    election_, status_reader_, cluster_, settings_, operator_settings_),
@@ -73,7 +78,8 @@
       api_(catalog_, election_, leader_term_, submissions_, queries_),
       peer_messages_(peers, election_, leader_term_, cluster_, acceptance_, leader_client_) {}
 
-// They are called only after start(), when all parts are there.
+// The constructor passes these callbacks to the election before it has constructed the members that
+// they use. This is safe because the election calls them only after start().
 leader::ElectionCallbacks Node::election_callbacks() {
   return {.on_elected = [this] { leader_term_.start_term(); },
           .on_step_down = [this] { leader_term_.end_term(); },
@@ -82,7 +88,8 @@
 
 void Node::announce_leadership(std::uint64_t round) {
   for (const config::Peer& peer : settings_.peers) {
-    // The answer to any round states the peer's version; no round of the election has this number.
+    // A peer answers an announcement with a round other than 0, and its answer carries its version.
+    // kVersionRound asks for the version only: the election never uses this number for a round.
     const bool ask_version =
         round == 0 && !cluster_.finalized() && !cluster_.knows_segments(peer.node);
     peers_.send(peer.node, rpc::LeaderAnnouncement{election_.epoch(),
--- a/src/app/node.h
+++ b/src/app/node.h
@@ -1,5 +1,6 @@
-// One controller, wired: every actor over an injected clock and injected transports, which must
-// outlive it. Owns the actors and the settings that they refer to.
+// One controller: constructs all of its actors and connects them to each other. It owns the actors
+// and the settings to which they refer. The caller (main(), or a test) injects the clock and the
+// transports, which must outlive the node. All calls are on the loop's thread.
 #pragma once
 
 #include "app/resource_budget.h"
@@ -28,8 +29,10 @@
   Node(net::Runtime& runtime, net::HttpCaller& http, rpc::PeerTransport& peers,
        config::Settings settings, config::OperatorSettings operator_settings);
 
-  // Begins to read the catalog and to take part in the election. Requests may come before.
+  // Starts to read the machine catalog and to take part in the election. handle() may be called
+  // before start().
   void start();
+  // Handles one HTTP request of a user or a worker.
   void handle(const net::Request& request, const net::Answer& answer) {
     api_.handle(request, answer);
   }
@@ -37,8 +40,8 @@
 
  private:
   leader::ElectionCallbacks election_callbacks();
-  // Announces to all peers that this node leads; with a round other than 0, asks them to confirm
-  // it.
+  // Announces to all peers that this node leads. With a round other than 0, it also asks
+  // each of them for an EpochConfirmation.
   void announce_leadership(std::uint64_t round);
 
   config::Settings settings_;
--- a/src/app/resource_budget.cc
+++ b/src/app/resource_budget.cc
@@ -3,25 +3,29 @@
 namespace seampass::app {
 namespace {
 
-// Parts of the process's sockets, as divisors: a sixteenth each for idle connections that this node
-// opened and for commands on their way, a thirty-second for peers, state service, cloud and files.
-// The rest is for those who connect to it, of whom workers stay and idle users make room.
-constexpr std::size_t kIdleClientPart = 16;
-constexpr std::size_t kCommandPart = 16;
-constexpr std::size_t kClientPart = 8;  // both of these, rounded down together
-constexpr std::size_t kOtherPart = 32;
+// The process's sockets are divided by these constants. A sixteenth each is for idle connections
+// that this node opened and for commands in flight; a thirty-second is for peers, the state
+// service, the cloud and files. The rest is for incoming connections: when they become scarce, the
+// server closes idle connections of users before those of workers.
+constexpr std::size_t kIdleClientDivisor = 16;
+constexpr std::size_t kCommandDivisor = 16;
+constexpr std::size_t kOutgoingDivisor = 8;  // both of the above, rounded down only once
+constexpr std::size_t kOtherDivisor = 32;
 
-// A final status takes a few hundred bytes. The cache takes an eighth of the memory at most.
-constexpr double kCachePart = 8;
+// The cache of final statuses uses at most an eighth of the memory. One final status takes a few
+// hundred bytes.
+constexpr double kCacheDivisor = 8;
 constexpr double kBytesPerFinalStatus = 512;
 constexpr double kKibPerMib = 1024;
 constexpr double kBytesPerKib = 1024;
 
-// A node's share of the state service's limits. The leader makes nearly all changes; what the
-// others make, and what is refused now and then, fits into the rest.
+// The share of the state service's rate limits that one node may use. The leader makes nearly all
+// changes. The changes by other nodes, and requests that the service occasionally refuses, fit into
+// the remaining share.
 constexpr double kStateRequestShare = 0.7;
 constexpr double kStateChangeShare = 0.8;
-// Likewise of the cloud's, which only the leader and refreshed catalogs draw on.
+// The share of the cloud's rate limit that one node may use. Only the leader's requests and the
+// catalog refreshes of all nodes count towards this limit.
 constexpr double kCloudShare = 0.7;
 
 }  // namespace
@@ -30,14 +34,14 @@
   const auto sockets = static_cast<std::size_t>(settings.fd_limit);
   const config::StateLimits limits = settings.least_state_limits();
   ResourceBudget budget;
-  budget.idle_client_connections = sockets / kIdleClientPart;
-  budget.commands_in_flight = sockets / kCommandPart;
-  budget.server_connections = sockets - sockets / kClientPart - sockets / kOtherPart;
+  budget.idle_client_connections = sockets / kIdleClientDivisor;
+  budget.commands_in_flight = sockets / kCommandDivisor;
+  budget.server_connections = sockets - sockets / kOutgoingDivisor - sockets / kOtherDivisor;
   budget.cached_final_statuses = static_cast<std::size_t>(
-      settings.memory_mb / kCachePart * kKibPerMib * kBytesPerKib / kBytesPerFinalStatus);
-  budget.state_requests = limits.rps * kStateRequestShare;
-  budget.state_changes = limits.write_rps * kStateChangeShare;
-  budget.cloud_requests = settings.cloud_rps * kCloudShare;
+      settings.memory_mb / kCacheDivisor * kKibPerMib * kBytesPerKib / kBytesPerFinalStatus);
+  budget.state_requests_per_s = limits.rps * kStateRequestShare;
+  budget.state_changes_per_s = limits.write_rps * kStateChangeShare;
+  budget.cloud_requests_per_s = settings.cloud_rps * kCloudShare;
   return budget;
 }
 
--- a/src/app/resource_budget.h
+++ b/src/app/resource_budget.h
@@ -1,5 +1,6 @@
-// How a node divides what it has: the platform's limits for its process (sockets, memory) and its
-// share of the limits of the state service and the cloud. The only place where these ratios stand.
+// How a node divides its resources: the sockets and the memory that the platform grants its
+// process, and its share of the rate limits of the state service and the cloud. These ratios are
+// defined only here. The node and main() read the budget once, at the start.
 #pragma once
 
 #include <cstddef>
@@ -9,19 +10,23 @@
 namespace seampass::app {
 
 struct ResourceBudget {
-  // Sockets. What is not named here is left for peers, the state service, the cloud and files.
-  std::size_t idle_client_connections = 0;  // that this node opened and keeps for the next request
-  std::size_t commands_in_flight = 0;       // each of which may need a socket
-  std::size_t server_connections = 0;       // of users and workers
-
-  // Final statuses in the cache.
+  // Numbers of sockets. The sockets that these members do not use are left for peers, the state
+  // service, the cloud and files.
+  // Connections that this node opened and keeps open, while idle, for its next request.
+  std::size_t idle_client_connections = 0;
+  // Concurrent requests to workers; each of them may need a socket.
+  std::size_t commands_in_flight = 0;
+  // Connections opened by users and workers.
+  std::size_t server_connections = 0;
+
+  // Maximum number of final statuses in the cache.
   std::size_t cached_final_statuses = 0;
 
-  // Requests a second. Those of the state service are below the limits now and after the announced
-  // change of them.
-  double state_requests = 0;
-  double state_changes = 0;
-  double cloud_requests = 0;
+  // Rates. Those for the state service are below its current limits as well as its announced next
+  // limits.
+  double state_requests_per_s = 0;
+  double state_changes_per_s = 0;
+  double cloud_requests_per_s = 0;
 
   [[nodiscard]] static ResourceBudget for_settings(const config::Settings& settings);
 };
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -1,4 +1,4 @@
-// The operators' own settings, from YAML.
+// Reads and checks the operators' settings file (YAML).
 #include <fmt/format.h>
 #include <yaml-cpp/yaml.h>
 
@@ -9,22 +9,23 @@
 namespace seampass::config {
 namespace {
 
-constexpr double kLeastHoldTimeoutS = 1;
+constexpr double kMinHoldTimeoutS = 1;
 
-// One `key: value` of the file; errors name file, key and fault.
+// One `key: value` pair of the file. Its readers throw BadSettings, which names the file, the key
+// and what is wrong with the value.
 class Entry {
  public:
   Entry(const std::string& path, std::string key, const YAML::Node& value)
       : path_(path), key_(std::move(key)), value_(value) {}
 
-  [[nodiscard]] double number(double least) const {
+  [[nodiscard]] double number(double minimum) const {
     double number = 0;
     try {
       number = value_.as<double>();
     } catch (const YAML::Exception&) {
       fail("must be a number");
     }
-    if (!std::isfinite(number) || number < least) fail("out of range");
+    if (!std::isfinite(number) || number < minimum) fail("out of range");
     return number;
   }
 
@@ -63,7 +64,7 @@
     const auto key = pair.first.as<std::string>();
     const Entry entry(path, key, pair.second);
     if (key == "hold_timeout_s") {
-      settings.hold_timeout_s = entry.number(kLeastHoldTimeoutS);
+      settings.hold_timeout_s = entry.number(kMinHoldTimeoutS);
     } else if (key == "idle_return") {
       settings.idle_return = entry.number(0);
     } else if (key == "spare_share") {
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -7,23 +7,25 @@
 namespace seampass::config {
 namespace {
 
-// The least that the records of one job and their conditions fit into.
-constexpr double kLeastValueKb = 2;
-constexpr double kLeastTxnOps = 4;
-// The least sockets of which every use gets some.
-constexpr double kLeastSockets = 32;
+// Minimum value size and transaction size with which the records of one job, and the conditions
+// under which they are written, can be stored.
+constexpr double kMinValueKb = 2;
+constexpr double kMinTxnOps = 4;
+// Minimum number of sockets with which app::ResourceBudget gives every use at least one.
+constexpr double kMinSockets = 32;
 
 toml::table parse(const std::string& path) {
   try {
     return toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    const auto line = error.source().begin.line;  // 0: the file could not be read at all
+    const auto line = error.source().begin.line;  // 0: the file could not be read
     throw BadSettings(path + (line > 0 ? ": line " + std::to_string(line) : "") + ": " +
                       std::string(error.description()));
   }
 }
 
-// The functions below read in this order, so that of several faults the first is reported.
+// load_settings() calls the following read_...() functions in the order in which they are defined.
+// If several settings are invalid, it reports the first one in this order.
 
 void read_node(const TomlTable& root, Settings& settings) {
   settings.node = root.text("node");
@@ -63,14 +65,13 @@
   settings.cancel_s = workers.positive("cancel_s");
 }
 
-// The limits in this table; those that it does not name are as in `base`.
+// Reads the limits in `table`. A limit that the table does not contain keeps its value from `base`.
 StateLimits limits_from(const TomlTable& table, const StateLimits& base) {
   StateLimits limits = base;
   if (table.has("rps")) limits.rps = table.positive("rps");
   if (table.has("write_rps")) limits.write_rps = table.positive("write_rps");
-  if (table.has("value_kb")) limits.value_kb = table.number("value_kb", kLeastValueKb);
-  if (table.has("txn_ops"))
-    limits.txn_ops = static_cast<int>(table.number("txn_ops", kLeastTxnOps));
+  if (table.has("value_kb")) limits.value_kb = table.number("value_kb", kMinValueKb);
+  if (table.has("txn_ops")) limits.txn_ops = static_cast<int>(table.number("txn_ops", kMinTxnOps));
   return limits;
 }
 
@@ -91,7 +92,7 @@
 void read_process_limits(const TomlTable& resources, Settings& settings) {
   settings.core_share = resources.positive("core_share");
   settings.memory_mb = resources.positive("mem_mb");
-  settings.fd_limit = static_cast<int>(resources.number("fd_limit", kLeastSockets));
+  settings.fd_limit = static_cast<int>(resources.number("fd_limit", kMinSockets));
 }
 
 }  // namespace
--- a/src/config/toml_table.cc
+++ b/src/config/toml_table.cc
@@ -8,8 +8,9 @@
 constexpr int kMaxPort = 65535;
 constexpr std::size_t kMaxPortDigits = 5;
 constexpr int kDecimalBase = 10;
-// Stands for a port that is not a number.
-constexpr int kNoPort = 1 << 20;
+// The value of a port that contains a character other than a digit. It is larger than kMaxPort, so
+// that the port is rejected.
+constexpr int kInvalidPort = 1 << 20;
 
 }  // namespace
 
@@ -19,9 +20,9 @@
   return *value;
 }
 
-double TomlTable::number(const char* name, double least) const {
+double TomlTable::number(const char* name, double minimum) const {
   const auto value = table_[name].value<double>();
-  if (!value || !std::isfinite(*value) || *value < least) fail(name, "must be a number in range");
+  if (!value || !std::isfinite(*value) || *value < minimum) fail(name, "must be a number in range");
   return *value;
 }
 
@@ -37,7 +38,8 @@
   int port = 0;
   if (colon != std::string::npos && value.size() - colon <= kMaxPortDigits + 1)
     for (std::size_t i = colon + 1; i < value.size(); ++i)
-      port = (value[i] < '0' || value[i] > '9') ? kNoPort : port * kDecimalBase + (value[i] - '0');
+      port = (value[i] < '0' || value[i] > '9') ? kInvalidPort
+                                                : port * kDecimalBase + (value[i] - '0');
   if (port < 1 || port > kMaxPort) fail(name, "must be ADDRESS:PORT");
   return value;
 }
--- a/tests/resource_budget_test.cc
+++ b/tests/resource_budget_test.cc
@@ -1,4 +1,5 @@
-// app::ResourceBudget: how a node divides sockets, memory and rates.
+// Tests app::ResourceBudget, which divides a node's sockets, memory and request rates among their
+// uses.
 #include "app/resource_budget.h"
 
 #include <gtest/gtest.h>
@@ -16,14 +17,14 @@
   return settings;
 }
 
-TEST(ResourceBudget, LeavesMostSocketsForThoseWhoConnect) {
+TEST(ResourceBudget, LeavesMostSocketsToIncomingConnections) {
   const auto budget = ResourceBudget::for_settings(settings_with_sockets(1024));
   EXPECT_EQ(budget.idle_client_connections, 64U);
   EXPECT_EQ(budget.commands_in_flight, 64U);
   EXPECT_EQ(budget.server_connections, 1024U - 128U - 32U);
 }
 
-TEST(ResourceBudget, NeverDividesMoreSocketsThanThereAre) {
+TEST(ResourceBudget, AssignsFewerSocketsThanTheLimit) {
   for (int sockets = 32; sockets < 2000; ++sockets) {
     const auto budget = ResourceBudget::for_settings(settings_with_sockets(sockets));
     EXPECT_LT(
@@ -32,14 +33,14 @@
   }
 }
 
-TEST(ResourceBudget, TakesAShareOfTheLowerLimits) {
+TEST(ResourceBudget, RatesAreSharesOfTheLowerOfCurrentAndNextLimits) {
   const auto budget = ResourceBudget::for_settings(settings_with_sockets(1024));
-  EXPECT_DOUBLE_EQ(budget.state_requests, 42);
-  EXPECT_DOUBLE_EQ(budget.state_changes, 40);
-  EXPECT_DOUBLE_EQ(budget.cloud_requests, 7);
+  EXPECT_DOUBLE_EQ(budget.state_requests_per_s, 42);
+  EXPECT_DOUBLE_EQ(budget.state_changes_per_s, 40);
+  EXPECT_DOUBLE_EQ(budget.cloud_requests_per_s, 7);
 }
 
-TEST(ResourceBudget, CachesFinalStatusesInAnEighthOfTheMemory) {
+TEST(ResourceBudget, CacheOfFinalStatusesFitsAnEighthOfTheMemory) {
   const auto budget = ResourceBudget::for_settings(settings_with_sockets(1024));
   EXPECT_EQ(budget.cached_final_statuses, 16384U);
 }
