--- a/tests/formats_check_test.cc
+++ b/tests/formats_check_test.cc
@@ -1,7 +1,8 @@
-// What `--check` says of bad settings, as literals: the exit status and the one line.
+// Compares what `--check` reports for invalid settings with literals: the exit status and the one
+// line of output.
 //
-// Whoever deploys the program acts on them. So a literal here may not be changed along with the
-// program.
+// Deployment tools depend on both. A change of the program must therefore not change a literal in
+// this file.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,23 +15,25 @@
 
 struct Outcome {
   int exit_status = -1;
-  std::string output;  // of both streams
+  std::string output;  // stdout and stderr
 };
 
+// Runs the program with `--check` on this settings file.
 Outcome check(const std::string& file) {
   const std::string command =
       std::string("'") + SEAMPASS_BINARY + "' --config '" + file + "' --check 2>&1";
   FILE* pipe = popen(command.c_str(), "r");
   if (!pipe) return {};
   Outcome outcome;
-  for (int c = fgetc(pipe); c != EOF; c = fgetc(pipe))
-    outcome.output.push_back(static_cast<char>(c));
+  for (int character = fgetc(pipe); character != EOF; character = fgetc(pipe))
+    outcome.output.push_back(static_cast<char>(character));
   const int status = pclose(pipe);
   outcome.exit_status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   return outcome;
 }
 
-void expect_refusal(const std::string& settings, const std::string& why) {
+// Expects that `--check` rejects a file with these `settings` and prints `reason` after its path.
+void expect_rejected(const std::string& settings, const std::string& reason) {
   const std::string file =
       testing::TempDir() + "seampass-check-" + std::to_string(getpid()) + ".toml";
   std::ofstream(file) << settings;
@@ -38,7 +41,7 @@
   const Outcome outcome = check(file);
 
   EXPECT_EQ(outcome.exit_status, 2);
-  EXPECT_EQ(outcome.output, "seampass: " + file + ": " + why + "\n");
+  EXPECT_EQ(outcome.output, "seampass: " + file + ": " + reason + "\n");
   unlink(file.c_str());
 }
 
@@ -49,9 +52,9 @@
 }
 
 TEST(Formats, ChecksSettingsAsBeforeWhenTheyAreBad) {
-  expect_refusal("[self\n", R"(line 1: Error while parsing table header: expected ']', saw '\n')");
-  expect_refusal("", "node: must be a non-empty string");
-  expect_refusal("node = 3\n", "node: must be a non-empty string");
+  expect_rejected("[self\n", R"(line 1: Error while parsing table header: expected ']', saw '\n')");
+  expect_rejected("", "node: must be a non-empty string");
+  expect_rejected("node = 3\n", "node: must be a non-empty string");
 }
 
 }  // namespace
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -1,10 +1,10 @@
-// The forms of requests over HTTP, as literals: what is asked of the state service, the cloud and
-// the workers, with paths and bodies; and what users and workers are answered, with the status and
-// the time after which they are to come again.
+// Compares the controllers' HTTP requests with literals: the requests to the state service, the
+// cloud and the workers, with their paths and bodies. Responses from these services are literals as
+// well.
 //
-// None of those programs is upgraded together with the controllers. So a literal here may not be
-// changed along with the program: one that no longer matches means that they are no longer
-// understood.
+// The state service, the cloud and the workers are not upgraded together with the controllers. A
+// change of the program must therefore not change a literal in this file: if a literal no longer
+// matches, these programs no longer understand the controllers, or the controllers them.
 #include <gtest/gtest.h>
 
 #include "cloud/client.h"
@@ -15,8 +15,8 @@
 namespace seampass::fakes {
 namespace {
 
-// Keeps the requests as texts and answers all with the same reply.
-class KeepingCaller : public net::HttpCaller {
+// Records each request as a string and returns the same reply to all of them.
+class RecordingCaller : public net::HttpCaller {
  public:
   void call(net::Call call, net::ReplyFn done) override {
     requests.push_back(call.endpoint + " " + call.method + " " + call.path + " " + call.body);
@@ -29,9 +29,10 @@
 
 using Requests = std::vector<std::string>;
 
-struct StateRequests {
+// A state::Client whose requests are recorded.
+struct RecordedStateClient {
   SimTime time;
-  KeepingCaller http;
+  RecordingCaller http;
   state::Client client{time, http, "state:1", 1000, 1000, 500};
 
   void answer(int status, const char* body) {
@@ -40,7 +41,7 @@
 };
 
 TEST(Formats, ReadsAKeyAsBefore) {
-  StateRequests state;
+  RecordedStateClient state;
   state::GetResult found;
   state.answer(200, R"({"path":"open/wk-8801","v":{"a":1},"stamp":17,"permit":4})");
   state.client.get("open/wk-8801", [&](const state::GetResult& result) { found = result; });
@@ -53,7 +54,7 @@
 }
 
 TEST(Formats, ListsKeysAsBefore) {
-  StateRequests state;
+  RecordedStateClient state;
   state::ListResult found;
   state.answer(200,
                R"({"rows":[{"path":"open/wk-1","v":3,"stamp":5}],"has_next":true,"ledger_rev":9})");
@@ -70,7 +71,7 @@
 }
 
 TEST(Formats, WritesTransactionsAsBefore) {
-  StateRequests state;
+  RecordedStateClient state;
   state::TxnResult result;
   state::Txn txn;
   txn.conditions = {{"leader", 91}, {"ends/wk-8801", 0}};
@@ -90,7 +91,7 @@
 }
 
 TEST(Formats, WatchesKeysAsBefore) {
-  StateRequests state;
+  RecordedStateClient state;
   state::WatchResult result;
   state.answer(
       200,
@@ -109,7 +110,7 @@
 }
 
 TEST(Formats, HandlesLeasesAsBefore) {
-  StateRequests state;
+  RecordedStateClient state;
   state::LeaseResult granted;
   state.answer(200, R"({"permit":6})");
   state.client.grant_lease(3333, [&](const state::LeaseResult& result) { granted = result; });
@@ -123,7 +124,7 @@
 
 TEST(Formats, RequestsOfTheCloudAreAsBefore) {
   SimTime time;
-  KeepingCaller http;
+  RecordingCaller http;
   cloud::Client client(time, http, "cloud:1", 100, 1000);
   client.catalog([](bool, const std::vector<wire::MachineType>&) {});
   client.rent({"n1-17", "t-large", "zone-3", false, 2},
@@ -143,7 +144,7 @@
 TEST(Formats, KnowsThatTheCloudHasNoCapacity) {
   const auto rented = [](const char* body) {
     SimTime time;
-    KeepingCaller http;
+    RecordingCaller http;
     cloud::Client client(time, http, "cloud:1", 100, 1000);
     http.reply = {net::Reply::Fate::answered, 503, body};
     std::optional<cloud::Rented> result;
@@ -155,7 +156,7 @@
 }
 
 TEST(Formats, RequestsOfWorkersAreAsBefore) {
-  KeepingCaller http;
+  RecordingCaller http;
   workers::Client client(http, 1000, 10);
   client.send("10.9.8.7:9100", 91, 3, {{wire::Verb::forget, "wk-8803", 5, 1, 0}},
               [](workers::Sent, const std::optional<wire::Heartbeat>&) {});
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -1,5 +1,5 @@
-// The real binary over loopback, with the stand-ins for the state service and the cloud served by
-// our own HTTP server.
+// Runs the program itself and sends it requests over loopback. The fakes of the state service
+// and the cloud run in the test process, behind net::HttpServer.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -15,6 +15,7 @@
 namespace seampass {
 namespace {
 
+// A port that is free on loopback at the time of the call.
 int free_port() {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in addr = net::parse_endpoint("127.0.0.1:0");
@@ -25,13 +26,15 @@
   return ntohs(addr.sin_port);
 }
 
-std::string local(int port) { return "127.0.0.1:" + std::to_string(port); }
+std::string loopback_endpoint(int port) { return "127.0.0.1:" + std::to_string(port); }
 
+// Starts a program. With `status`, discards its output, waits until it exits and sets `status` to
+// the result of waitpid().
 pid_t run(std::vector<std::string> args, int* status = nullptr) {
   const pid_t pid = fork();
   if (pid == 0) {
     std::vector<char*> argv;
-    for (auto& a : args) argv.push_back(a.data());
+    for (auto& arg : args) argv.push_back(arg.data());
     argv.push_back(nullptr);
     if (status) {
       freopen("/dev/null", "w", stdout);
@@ -44,13 +47,14 @@
   return pid;
 }
 
+// Runs a program until it exits. Returns its exit status, or -1 if a signal ended it.
 int exit_code(const std::vector<std::string>& args) {
   int status = 0;
   run(args, &status);
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(Process, CommandLine) {
+TEST(Process, CommandLineExitStatuses) {
   EXPECT_EQ(exit_code({SEAMPASS_BINARY, "--version"}), 0);
   EXPECT_EQ(exit_code({SEAMPASS_BINARY, "--help"}), 0);
   EXPECT_EQ(exit_code({SEAMPASS_BINARY}), 2);
@@ -58,27 +62,30 @@
   EXPECT_EQ(exit_code({SEAMPASS_BINARY, "--nonsense"}), 2);
 }
 
-TEST(Process, AnswersOverLoopback) {
+TEST(Process, ServesTheUserApiOverLoopback) {
   net::Loop loop;
   fakes::StateService state(loop);
-  fakes::SimTime nowhere;
-  fakes::SimNet nothing(nowhere, 1);
+  fakes::SimTime unused_time;
+  fakes::SimNet unused_net(unused_time, 1);
   fakes::InvariantChecker checker;
-  fakes::CloudService cloud(nothing, checker, {}, {"n0"});
-  net::HttpServer state_server(
-      loop, {}, [&](const net::Request& r, net::Answer a) { state.handle(r, std::move(a)); });
-  net::HttpServer cloud_server(loop, {},
-                               [&](const net::Request& r, net::Answer a) { cloud.handle(r, a); });
-  const std::string node = local(free_port());
-  const std::string state_at = local(free_port()), cloud_at = local(free_port());
-  state_server.listen(state_at);
-  cloud_server.listen(cloud_at);
+  fakes::CloudService cloud(unused_net, checker, {}, {"n0"});
+  net::HttpServer state_server(loop, {}, [&](const net::Request& request, net::Answer answer) {
+    state.handle(request, std::move(answer));
+  });
+  net::HttpServer cloud_server(loop, {}, [&](const net::Request& request, net::Answer answer) {
+    cloud.handle(request, answer);
+  });
+  const std::string node = loopback_endpoint(free_port());
+  const std::string state_endpoint = loopback_endpoint(free_port()),
+                    cloud_endpoint = loopback_endpoint(free_port());
+  state_server.listen(state_endpoint);
+  cloud_server.listen(cloud_endpoint);
 
   char file[] = "/tmp/seampass-test-XXXXXX";
   close(mkstemp(file));
   std::ofstream(file) << "node = \"n0\"\nlocation = \"a\"\nlisten = \"" << node << "\"\nback = \""
-                      << local(free_port()) << "\"\n[external]\ncloud = \"" << cloud_at
-                      << "\"\nstate = \"" << state_at << R"("
+                      << loopback_endpoint(free_port()) << "\"\n[external]\ncloud = \""
+                      << cloud_endpoint << "\"\nstate = \"" << state_endpoint << R"("
 [facts]
 zones = ["a", "b"]
 skew_ms = 5
@@ -111,34 +118,34 @@
   const pid_t pid = run({SEAMPASS_BINARY, "--config", file});
   {
     net::HttpClient client(loop, 4);
-    const auto ask = [&](const char* method, const std::string& path, const std::string& body) {
+    const auto request = [&](const char* method, const std::string& path, const std::string& body) {
       net::Reply reply;
       bool answered = false;
-      client.call({node, method, path, body, 3000}, [&](const net::Reply& r) {
-        reply = r;
+      client.call({node, method, path, body, 3000}, [&](const net::Reply& received) {
+        reply = received;
         answered = true;
       });
       while (!answered) uv_run(loop.raw(), UV_RUN_ONCE);
       return reply;
     };
-    const auto pause = [&](net::Ms t) {
-      bool over = false;
-      loop.after(t, [&] { over = true; });
-      while (!over) uv_run(loop.raw(), UV_RUN_ONCE);
+    const auto pause = [&](net::Ms duration) {
+      bool elapsed = false;
+      loop.after(duration, [&] { elapsed = true; });
+      while (!elapsed) uv_run(loop.raw(), UV_RUN_ONCE);
     };
-    for (int i = 0; i < 100 && !ask("GET", "/up", "").is(200); ++i) pause(50);
-    EXPECT_TRUE(ask("GET", "/up", "").is(200));
+    for (int i = 0; i < 100 && !request("GET", "/up", "").is(200); ++i) pause(50);
+    EXPECT_TRUE(request("GET", "/up", "").is(200));
     const std::string job = wire::to_json(fakes::array_job("wk-5", 2)).dump();
-    EXPECT_EQ(ask("POST", "/api/jobs", job).status, 201);
-    EXPECT_EQ(ask("POST", "/api/jobs", job).status, 200);
-    EXPECT_EQ(ask("GET", "/api/jobs/wk-5", "").status, 200);
-    EXPECT_EQ(ask("GET", "/api/jobs/wk-6", "").status, 404);
-    EXPECT_EQ(ask("POST", "/api/jobs", "{").status, 400);
-    EXPECT_EQ(ask("POST", "/api/jobs", std::string(70000, ' ')).status, 413);
-    EXPECT_EQ(ask("BREW", "/up", "").status, 400);
+    EXPECT_EQ(request("POST", "/api/jobs", job).status, 201);
+    EXPECT_EQ(request("POST", "/api/jobs", job).status, 200);
+    EXPECT_EQ(request("GET", "/api/jobs/wk-5", "").status, 200);
+    EXPECT_EQ(request("GET", "/api/jobs/wk-6", "").status, 404);
+    EXPECT_EQ(request("POST", "/api/jobs", "{").status, 400);
+    EXPECT_EQ(request("POST", "/api/jobs", std::string(70000, ' ')).status, 413);
+    EXPECT_EQ(request("BREW", "/up", "").status, 400);
     net::Reply cancelled;
     for (int i = 0; i < 50 && !cancelled.is(200); ++i) {
-      cancelled = ask("POST", "/api/jobs/wk-5/abort", "");
+      cancelled = request("POST", "/api/jobs/wk-5/abort", "");
       pause(50);
     }
     EXPECT_NE(cancelled.body.find("withdrawn"), std::string::npos) << cancelled.body;
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -23,7 +23,7 @@
 "pours":[{"pour":"wk-000412/3","try":2,"stage":"running"},
 {"pour":"wk-000398/0","try":1,"stage":"ended","exit_cause":"done","kept":true}]})";
 
-TEST(Wire, ReadsAJobAndWritesItBack) {
+TEST(Wire, DecodesAJobAndEncodesItUnchanged) {
   const Job job = job_from(parse_object(kJob));
   EXPECT_EQ(job.kind, JobKind::gang);
   EXPECT_EQ(job.priority, Priority::high);
@@ -32,11 +32,11 @@
   EXPECT_FALSE(job.zone);
   EXPECT_TRUE(job.one_zone && job.spot && !job.spread);
   EXPECT_EQ(*job.deadline_s, 900.0);
-  const Json again = to_json(job);
-  EXPECT_EQ(to_json(job_from(again)), again);
+  const Json encoded = to_json(job);
+  EXPECT_EQ(to_json(job_from(encoded)), encoded);
 }
 
-TEST(Wire, RefusesBadJobsNamingTheField) {
+TEST(Wire, RejectsInvalidJobsAndNamesTheMember) {
   const struct {
     const char* field;
     Json value;
@@ -56,16 +56,17 @@
       {"expected_s", Json()}, {"rack_every_s", -1},
       {"due_s", "soon"},
   };
-  for (const auto& bad : cases) {
+  for (const auto& invalid : cases) {
     Json object = Json::parse(kJob);
-    object[bad.field] = bad.value;
+    object[invalid.field] = invalid.value;
     try {
       static_cast<void>(job_from(object));
-      ADD_FAILURE() << bad.field << " = " << bad.value << " was taken";
+      ADD_FAILURE() << invalid.field << " = " << invalid.value << " was accepted";
     } catch (const Malformed& error) {
-      EXPECT_NE(std::string(error.what()).find(bad.field), std::string::npos) << error.what();
+      EXPECT_NE(std::string(error.what()).find(invalid.field), std::string::npos) << error.what();
     }
   }
+  // These members are mandatory: they may be neither null nor missing.
   for (const char* field : {"ref", "cuvee_class", "owner_crew", "shape", "rank", "pours", "cpus",
                             "accelerators", "memory_gb", "blend", "pull_gb", "together", "apart",
                             "lent_racks", "expected_s", "rack_every_s", "rack_s"}) {
@@ -75,7 +76,8 @@
     object.erase(field);
     EXPECT_THROW(job_from(object), Malformed) << field << " missing";
   }
-  for (const char* field : {"barrels", "cellar", "due_s"}) {  // null may also be missing
+  // These members are optional: they may be null or missing.
+  for (const char* field : {"barrels", "cellar", "due_s"}) {
     Json object = Json::parse(kJob);
     object.erase(field);
     EXPECT_NO_THROW(job_from(object)) << field;
@@ -85,7 +87,7 @@
   EXPECT_THROW(parse_object("{\"a\":" + std::string(30000, '[')), Malformed);
 }
 
-TEST(Wire, ReadsHeartbeats) {
+TEST(Wire, DecodesHeartbeats) {
   const Heartbeat heartbeat = heartbeat_from(kHeartbeat);
   EXPECT_EQ(heartbeat.machine, "m-000231");
   EXPECT_EQ(heartbeat.incarnation, 1u);
@@ -98,7 +100,7 @@
   EXPECT_TRUE(heartbeat.tasks[1].saved);
 }
 
-TEST(Wire, WritesCommands) {
+TEST(Wire, EncodesCommands) {
   const Json answer = Json::parse(heartbeat_answer(41, {{Verb::start, "wk-1", 4, 2, 0},
                                                         {Verb::stop, "wk-2", 1, 1, 10},
                                                         {Verb::forget, "wk-3", 0, 1, 0}}));
@@ -109,28 +111,29 @@
   EXPECT_EQ(Json::parse(redirect_answer("n2"))["steward"], "n2");
 }
 
-// One to four edits at random places.
+// Returns `text` after one to four edits at random positions.
 std::string mutated(std::string text, std::mt19937& random) {
   const int edits = 1 + static_cast<int>(random() % 4);
   for (int i = 0; i < edits && !text.empty(); ++i) {
-    const std::size_t at = random() % text.size();
+    const std::size_t position = random() % text.size();
     switch (random() % 4) {
       case 0:
-        text[at] = static_cast<char>(random());
+        text[position] = static_cast<char>(random());
         break;
       case 1:
-        text.erase(at, 1 + random() % 8);
+        text.erase(position, 1 + random() % 8);
         break;
       case 2:
-        text.insert(at, 1, "{}[]\",:0-9e.ntf"[random() % 15]);
+        text.insert(position, 1, "{}[]\",:0-9e.ntf"[random() % 15]);
         break;
       default:
-        text.insert(at, text.substr(random() % text.size(), random() % 20));
+        text.insert(position, text.substr(random() % text.size(), random() % 20));
     }
   }
   return text;
 }
 
+// A decoding function and a valid message for it.
 struct Reader {
   std::string message;
   std::function<void(const std::string&)> read;
@@ -141,8 +144,9 @@
   return {std::move(message), [read](const std::string& text) { static_cast<void>(read(text)); }};
 }
 
-// Whatever comes, a reader gives a structure or Malformed: never another exception or a crash.
-TEST(Wire, SurvivesMutatedMessages) {
+// Every decoding function returns a structure or throws Malformed for any input. Another exception
+// or a crash would let a malformed message from outside end the controller.
+TEST(Wire, DecodesMutatedMessagesOrThrowsMalformed) {
   std::mt19937 random(20251);
   const std::string catalog =
       R"({"barrels":[{"name":"g8","cpus":96,"accelerators":8,"memory_gb":768,"cache_gb":200,
@@ -157,20 +161,20 @@
       reader(list, machines_from),
       reader(R"({"hosts":["m-000231"]})", rented_from),
   };
-  int taken = 0, refused = 0;
+  int accepted = 0, rejected = 0;
   for (const Reader& reader : readers) {
     EXPECT_NO_THROW(reader.read(reader.message));
     for (int i = 0; i < 3000; ++i) {
       try {
         reader.read(mutated(reader.message, random));
-        ++taken;
+        ++accepted;
       } catch (const Malformed&) {
-        ++refused;
+        ++rejected;
       }
     }
   }
-  EXPECT_GT(taken, 100);
-  EXPECT_GT(refused, 5000);
+  EXPECT_GT(accepted, 100);
+  EXPECT_GT(rejected, 5000);
 }
 
 }  // namespace
