--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Each of these times is a heartbeat interval divided by the constant.
-constexpr double kRequestTimeoutDivisor =
-    3;  // timeout of requests to the state service and workers
+// Each of these times is a heartbeat interval divided by the constant. The first one is the timeout
+// of requests to the state service and to workers.
+constexpr double kRequestTimeoutDivisor = 3;
 constexpr double kCatalogRetryDivisor = 2;
 constexpr double kVersionRetryDivisor = 10;
 constexpr double kExtensionMarginDivisor = 3;
--- a/src/app/resource_budget.h
+++ b/src/app/resource_budget.h
@@ -22,8 +22,8 @@
   // Maximum number of final statuses in the cache.
   std::size_t cached_final_statuses = 0;
 
-  // Rates. Those for the state service are below its current limits as well as its announced next
-  // limits.
+  // Maximum rates of requests and of changes, per second. Those for the state service are below its
+  // current limits and also below the limits that are announced as the next ones.
   double state_requests_per_s = 0;
   double state_changes_per_s = 0;
   double cloud_requests_per_s = 0;
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -88,8 +88,7 @@
   std::uint64_t incarnation = 0;  // starts at 1; increases with each expiry of the worker's lease
   std::uint64_t sequence = 0;     // increases with each heartbeat
   std::uint64_t token = 0;        // the highest epoch (fencing token) that the worker has seen
-  // Preemption notice: the cloud will take the spot machine back after this time; nullopt: no
-  // notice.
+  // Preemption notice: the cloud will take the machine back after this time; nullopt: no notice.
   std::optional<double> notice_s;
   std::vector<TaskStatus> tasks;
 };
