--- a/tests/randomized_cluster_faults_test.cc
+++ b/tests/randomized_cluster_faults_test.cc
@@ -1,5 +1,7 @@
-// Many days of mixed faults, each from its seed: lost, late and repeated requests, killed nodes and
-// machines, outages of the store. In simulated time, against our own fakes.
+// Runs random sequences of faults, one sequence per seed: lost, late and repeated requests, killed
+// nodes and machines, outages of the state service. No invariant may be violated, and every
+// accepted job must end. The tests run in simulated time, against the fakes of the state service,
+// the cloud and the workers.
 #include <gtest/gtest.h>
 
 #include "fakes/randomized_cluster.h"
@@ -11,10 +13,11 @@
  protected:
   RandomizedClusterFaults() : RandomizedCluster(5, GetParam() * 7919 + 1) {}
 
-  Delivery deliver(const std::string& from, const net::Call& call) {
+  // Chooses the fault, if any, that a request meets.
+  Delivery choose_delivery(const std::string& from, const net::Call& call) {
     Delivery delivery;
-    if (from == receives_nothing_ && is_heartbeat(call)) delivery.lose_answer = true;
-    if (is_to_machine(call, receives_nothing_)) delivery.drop = true;
+    if (from == non_receiving_machine_ && is_heartbeat(call)) delivery.lose_answer = true;
+    if (is_to_machine(call, non_receiving_machine_)) delivery.drop = true;
     if (delivery.drop || delivery.lose_answer) return delivery;
     if (from == "user" || pick(100) >= fault_percent_) return delivery;
     switch (pick(4)) {
@@ -25,21 +28,22 @@
         delivery.lose_answer = true;
         break;
       case 2:
-        // Of heartbeats, of commands, and of requests that were carried out.
+        // Repeats any request, also heartbeats, commands and requests that were already executed.
         delivery.repeat_after = pick_ms(40000);
         break;
       default:
         delivery.late = pick_ms(30000);
     }
-    // A worker drops the answer to a heartbeat that comes later; the rest may be anything.
+    // Heartbeats arrive at most 15 s late, since a worker ignores the answer to a heartbeat that is
+    // later than that. All other requests may arrive up to 30 s late.
     if (is_heartbeat(call) && delivery.late) delivery.late = std::min<Ms>(*delivery.late, 15000);
     return delivery;
   }
 
-  void play_step(int step) {
+  void run_step(int step) {
     fault_percent_ = pick(4) == 0 ? 30 : 5;
     const std::string node = pick_node();
-    act(pick(9), node, "wk-" + std::to_string(1000 + step));
+    perform_action(pick(9), node, "wk-" + std::to_string(1000 + step));
     cluster_.time.run_for(pick_ms(9000));
     if (cluster_.state.down && pick(2) == 0) cluster_.state.come_back();
     if (!killed_.empty() && pick(2) == 0) start_one_killed_node();
@@ -47,20 +51,23 @@
 
   void end_faults() {
     fault_percent_ = 0;
-    receives_nothing_.clear();
+    non_receiving_machine_.clear();
     cluster_.state.come_back();
     start_killed_nodes();
   }
 
-  // A cancellation whose answer did not come is asked for again, as users do.
-  void cancel_again(const std::string& id) {
+  // Repeats the cancellation of a job, as users do when they get no answer, until a node answers
+  // with 200, at most 100 times. Does nothing if the test has not cancelled the job.
+  void repeat_cancellation(const std::string& id) {
     for (int i = 0; i < 100 && cancelled_.contains(id); ++i)
       if (cluster_.cancel(kNodes.at(i % 3), id).status == 200) break;
   }
 
  private:
-  void act(unsigned kind, const std::string& node, const std::string& new_id) {
-    switch (kind) {
+  // Begins or ends a fault, or submits, cancels or polls a job. `action` is the number that was
+  // drawn.
+  void perform_action(unsigned action, const std::string& node, const std::string& new_id) {
+    switch (action) {
       case 0:
       case 1:
       case 2:
@@ -79,9 +86,9 @@
         if (!no_machine_is_up()) worker(pick_machine()).crash();
         break;
       case 8:
-        receives_nothing_ = receives_nothing_.empty() && !no_machine_is_up()
-                                ? cluster_.cloud.machines.begin()->first
-                                : "";
+        non_receiving_machine_ = non_receiving_machine_.empty() && !no_machine_is_up()
+                                     ? cluster_.cloud.machines.begin()->first
+                                     : "";
         break;
       default:
         if (!accepted_.empty()) cluster_.poll(node, pick_job());
@@ -99,18 +106,20 @@
   }
 
   unsigned fault_percent_ = 0;
-  std::string receives_nothing_;  // a machine whose heartbeats arrive
+  // This machine's heartbeats arrive, but no reply and no command reaches it.
+  std::string non_receiving_machine_;
   std::set<std::string> cancelled_;
 };
 
-TEST_P(RandomizedClusterFaults, ViolateNothing) {
+TEST_P(RandomizedClusterFaults, InvariantsHoldAndAllJobsEnd) {
   ASSERT_TRUE(cluster_.wait_for_leader());
-  cluster_.net.set_rule(
-      [this](const std::string& from, const net::Call& call) { return deliver(from, call); });
-  for (int step = 0; step < 60; ++step) play_step(step);
+  cluster_.net.set_rule([this](const std::string& from, const net::Call& call) {
+    return choose_delivery(from, call);
+  });
+  for (int step = 0; step < 60; ++step) run_step(step);
   end_faults();
   for (const std::string& id : accepted_) {
-    cancel_again(id);
+    repeat_cancellation(id);
     const bool cancelled = cluster_.checker.jobs[id].cancelled;
     EXPECT_TRUE(cluster_.reaches(id, cancelled ? "withdrawn" : "done", 400000))
         << id << "\n"
--- a/tests/randomized_faults_test.cc
+++ b/tests/randomized_faults_test.cc
@@ -1,5 +1,6 @@
-// Many days on which faults meet, each from its seed; then all faults end, and nothing may be
-// forgotten or left waiting. In simulated time, against our own fakes.
+// Runs random sequences of overlapping faults, one sequence per seed. Once all faults have ended,
+// every accepted job must be known, and every job must end. The tests run in simulated time,
+// against the fakes of the state service, the cloud and the workers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,39 +15,42 @@
   RandomizedFaults() : RandomizedCluster(6, GetParam() * 6007 + 5) { cluster_.cloud.capacity = 12; }
 
   void begin_faults() {
-    cluster_.net.set_rule(
-        [this](const std::string& from, const net::Call& call) { return deliver(from, call); });
+    cluster_.net.set_rule([this](const std::string& from, const net::Call& call) {
+      return choose_delivery(from, call);
+    });
     cluster_.net.set_peer_rule([this](const std::string& from, const std::string& to) {
       return from != isolated_node_ && to != isolated_node_;
     });
   }
 
-  void play_step(int step) {
+  void run_step(int step) {
     const std::string node = pick_node();
     const std::string new_id = "wk-" + std::to_string(1000 + step);
     fault_percent_ = pick(4) == 0 ? 30 : 3;
-    act(pick(18), node, new_id);
+    perform_action(pick(18), node, new_id);
     if (!killed_.contains(node) && !accepted_.empty()) cluster_.poll(node, pick_job());
     cluster_.time.run_for(pick_ms(7000));
     if (cluster_.state.down && pick(6) == 0) cluster_.state.come_back();
-    if (!refused_node_.empty() && pick(4) == 0) refused_node_.clear();
+    if (!node_refused_by_store_.empty() && pick(4) == 0) node_refused_by_store_.clear();
     if (!isolated_node_.empty() && pick(5) == 0) isolated_node_.clear();
     while (!killed_.empty() && pick(2) == 0) start_one_killed_node();
   }
 
   void end_faults() {
     fault_percent_ = late_write_percent_ = late_heartbeat_percent_ = 0;
-    receives_nothing_ = sends_nothing_ = refused_node_ = isolated_node_ = "";
+    non_receiving_machine_ = non_sending_machine_ = node_refused_by_store_ = isolated_node_ = "";
     cluster_.state.come_back();
     start_killed_nodes();
-    over_at_ = cluster_.time.now();
+    faults_ended_at_ = cluster_.time.now();
   }
 
-  // Every accepted job is known and every cancellation answered, by any node, within 75 s.
-  void expect_answers_about_all_jobs() {
+  // Polls and cancels through random nodes. Within 75 s after the faults end, some node must answer
+  // with 200 to a status query for each accepted job and to each cancellation.
+  void expect_all_jobs_and_cancellations_are_answered() {
     std::set<std::string> unknown(accepted_.begin(), accepted_.end());
     std::set<std::string> unconfirmed = cancelled_;
-    while (cluster_.time.now() - over_at_ < 75000 && !(unknown.empty() && unconfirmed.empty())) {
+    while (cluster_.time.now() - faults_ended_at_ < 75000 &&
+           !(unknown.empty() && unconfirmed.empty())) {
       for (auto it = unconfirmed.begin(); it != unconfirmed.end();)
         it =
             cluster_.cancel(pick_node(), *it).status == 200 ? unconfirmed.erase(it) : std::next(it);
@@ -58,14 +62,15 @@
     EXPECT_TRUE(unconfirmed.empty()) << *unconfirmed.begin();
   }
 
-  // Little enough is open that all of it fits, one after another. (A job with dependencies has its
-  // time later, from when those are done.)
-  void expect_no_job_waits() {
-    cluster_.time.run_until(std::max(cluster_.time.now(), over_at_ + 90000));
+  // Expects that 90 s after the faults end every unfinished task is on a machine. The open jobs are
+  // few enough for the cloud's machines to run all of them in turn. Jobs with dependencies are left
+  // out: their tasks start later, once the dependencies are done.
+  void expect_all_tasks_are_placed() {
+    cluster_.time.run_until(std::max(cluster_.time.now(), faults_ended_at_ + 90000));
     for (const std::string& id : accepted_) {
       const JobHistory& job = cluster_.checker.jobs[id];
       if (job.cancelled || !job.spec.dependencies.empty()) continue;
-      EXPECT_EQ(cluster_.unplaced_tasks(id), 0) << id << " waits\n"
+      EXPECT_EQ(cluster_.unplaced_tasks(id), 0) << id << " has unplaced tasks\n"
                                                 << cluster_.state.dump("work/" + id);
     }
   }
@@ -78,17 +83,19 @@
   }
 
  private:
-  Delivery deliver(const std::string& from, const net::Call& call) {
+  // Chooses the fault, if any, that a request meets. Requests of users meet none. Faults that last
+  // for several steps take precedence over faults that are drawn for a single request.
+  Delivery choose_delivery(const std::string& from, const net::Call& call) {
     Delivery delivery;
     if (from == "user") return delivery;
-    if (is_heartbeat(call) && from == receives_nothing_) delivery.lose_answer = true;
-    if (is_to_machine(call, receives_nothing_)) delivery.drop = true;
-    if (is_heartbeat(call) && from == sends_nothing_) delivery.refuse = true;
-    if (is_to_store(call) && from == refused_node_) delivery.status = 503;
+    if (is_heartbeat(call) && from == non_receiving_machine_) delivery.lose_answer = true;
+    if (is_to_machine(call, non_receiving_machine_)) delivery.drop = true;
+    if (is_heartbeat(call) && from == non_sending_machine_) delivery.refuse = true;
+    if (is_to_store(call) && from == node_refused_by_store_) delivery.status = 503;
     if (is_to_store(call) && from == isolated_node_) delivery.drop = true;
-    const bool decided =
+    const bool has_lasting_fault =
         delivery.drop || delivery.lose_answer || delivery.refuse || delivery.status != 0;
-    if (decided) return delivery;
+    if (has_lasting_fault) return delivery;
     if (is_transaction(call) && pick(100) < late_write_percent_)
       delivery.late = 2000 + pick_ms(10000);
     if (is_heartbeat(call) && pick(100) < late_heartbeat_percent_)
@@ -110,8 +117,9 @@
     return delivery;
   }
 
-  void act(unsigned kind, const std::string& node, const std::string& new_id) {
-    switch (kind) {
+  // Begins or ends a fault, or cancels or submits jobs. `action` is the number that was drawn.
+  void perform_action(unsigned action, const std::string& node, const std::string& new_id) {
+    switch (action) {
       case 0:
         late_write_percent_ = late_write_percent_ == 0 ? 40 : 0;
         break;
@@ -119,13 +127,13 @@
         late_heartbeat_percent_ = late_heartbeat_percent_ == 0 ? 30 : 0;
         break;
       case 2:
-        receives_nothing_ = machine_unless(receives_nothing_);
+        non_receiving_machine_ = toggle_machine(non_receiving_machine_);
         break;
       case 3:
-        sends_nothing_ = machine_unless(sends_nothing_);
+        non_sending_machine_ = toggle_machine(non_sending_machine_);
         break;
       case 4:
-        refused_node_ = refused_node_.empty() ? cluster_.leader() : "";
+        node_refused_by_store_ = node_refused_by_store_.empty() ? cluster_.leader() : "";
         break;
       case 5:
         isolated_node_ = isolated_node_.empty() ? cluster_.leader() : "";
@@ -134,13 +142,13 @@
         cluster_.state.down = true;
         break;
       case 7:
-        refuse_leader_then_all_during_cancellations();
+        refuse_leader_then_all_nodes_during_cancellations();
         break;
       case 8:
         cancel_jobs_while_machines_hang();
         break;
       case 9:
-        if (!accepted_.empty()) cancel_as_last_task_ends(node, pick_job());
+        if (!accepted_.empty()) cancel_when_last_task_ends(node, pick_job());
         break;
       case 10:
         if (!no_machine_is_up()) worker(pick_machine()).crash();
@@ -152,16 +160,17 @@
         kill_or_restart_leader();
         break;
       case 13:
-        for (const char* each : kNodes) kill(each);
+        for (const char* name : kNodes) kill(name);
         break;
       default:
         submit(node, new_id);
     }
   }
 
-  // None if there was one, else one that is up.
-  std::string machine_unless(const std::string& present) {
-    return present.empty() && !no_machine_is_up() ? pick_machine() : "";
+  // Switches a machine's fault on or off: returns an empty name if `current` names a machine or no
+  // machine is up, else picks one of the machines that are up.
+  std::string toggle_machine(const std::string& current) {
+    return current.empty() && !no_machine_is_up() ? pick_machine() : "";
   }
   void cancel(const std::string& id) {
     cancelled_.insert(id);
@@ -170,21 +179,24 @@
   void cancel_three_jobs() {
     for (int i = 0; i < 3 && !accepted_.empty(); ++i) cancel(pick_job());
   }
-  void refuse_leader_then_all_during_cancellations() {
-    refused_node_ = cluster_.leader();
+  // The state service refuses only the leader while jobs are cancelled, then every request.
+  void refuse_leader_then_all_nodes_during_cancellations() {
+    node_refused_by_store_ = cluster_.leader();
     cancel_three_jobs();
     cluster_.time.run_for(pick_ms(3000));
     cluster_.state.down = true;
   }
   void cancel_jobs_while_machines_hang() {
     for (int i = 0; i < 3 && !no_machine_is_up(); ++i) {
-      pick_machine();  // not used: keeps each seed's sequence
+      pick_machine();  // result unused: this draw keeps each seed's random sequence the same
       Worker& hanging = worker(pick_machine());
       hanging.hang(pick_ms(30000));
     }
     cancel_three_jobs();
   }
-  void cancel_as_last_task_ends(const std::string& node, const std::string& id) {
+  // Waits up to 15 s until the last task of the job ends, so that the cancellation races with the
+  // final status `done`. Then submits the same job again.
+  void cancel_when_last_task_ends(const std::string& node, const std::string& id) {
     for (int i = 0; i < 300 && cluster_.unfinished_tasks(id) > 0; ++i) cluster_.time.run_for(50);
     cancel(id);
     cluster_.poll(node, id);
@@ -214,35 +226,43 @@
     if (answer.accepted()) accepted_.push_back(id);
     EXPECT_TRUE(answer.accepted() || answer.status == 503 || answer.status == 0) << answer.status;
   }
-  // Chains, fans and diamonds, also behind jobs that are finished or cancelled.
+  // Makes the job depend on up to three of the six jobs that were accepted last, including finished
+  // and cancelled ones. Over many steps the jobs form chains, fans and diamonds.
   void add_dependencies(wire::Job& job) {
     for (int i = 0; i < 3 && !accepted_.empty(); ++i) {
       const unsigned recent = std::min<unsigned>(6, static_cast<unsigned>(accepted_.size()));
-      const std::string& other = accepted_[accepted_.size() - 1 - pick(recent)];
+      const std::string& dependency = accepted_[accepted_.size() - 1 - pick(recent)];
       auto& ids = job.dependencies;
-      if (pick(3) == 0 && std::find(ids.begin(), ids.end(), other) == ids.end())
-        ids.push_back(other);
+      if (pick(3) == 0 && std::find(ids.begin(), ids.end(), dependency) == ids.end())
+        ids.push_back(dependency);
     }
   }
 
+  // The share of requests that meet a fault drawn for this request alone.
   unsigned fault_percent_ = 0;
+  // The share of transactions that arrive 2 s to 12 s late.
   unsigned late_write_percent_ = 0;
+  // The share of heartbeats of which a copy arrives 2 s to 42 s later.
   unsigned late_heartbeat_percent_ = 0;
-  std::string receives_nothing_;  // a machine whose heartbeats arrive
-  std::string sends_nothing_;     // a machine that commands reach
-  std::string refused_node_;      // by the store alone
-  std::string isolated_node_;     // from the store and its peers, not from workers
+  // This machine's heartbeats arrive, but no reply and no command reaches it.
+  std::string non_receiving_machine_;
+  // Commands reach this machine, but its heartbeats are not sent.
+  std::string non_sending_machine_;
+  // The state service refuses this node's requests. Messages between the node and its peers pass.
+  std::string node_refused_by_store_;
+  // This node reaches neither the state service nor its peers. It still reaches workers.
+  std::string isolated_node_;
   std::set<std::string> cancelled_;
-  Ms over_at_ = 0;
+  Ms faults_ended_at_ = 0;
 };
 
-TEST_P(RandomizedFaults, ViolateNothingAndLeaveNothingWaiting) {
+TEST_P(RandomizedFaults, InvariantsHoldAndAllJobsEnd) {
   ASSERT_TRUE(cluster_.wait_for_leader());
   begin_faults();
-  for (int step = 0; step < 50; ++step) play_step(step);
+  for (int step = 0; step < 50; ++step) run_step(step);
   end_faults();
-  expect_answers_about_all_jobs();
-  expect_no_job_waits();
+  expect_all_jobs_and_cancellations_are_answered();
+  expect_all_tasks_are_placed();
   expect_all_jobs_end();
   cluster_.time.run_for(45000);
   cluster_.expect_no_violations();
