--- a/tests/dependency_cancellation_test.cc
+++ b/tests/dependency_cancellation_test.cc
@@ -1,4 +1,4 @@
-// What the cancellation of a job means for those that depend on it.
+// How the cancellation of a job affects the jobs that depend on it.
 #include <gtest/gtest.h>
 
 #include "dependent_jobs.h"
@@ -8,18 +8,19 @@
 namespace seampass::fakes {
 namespace {
 
-TEST(Dependencies, AreCancelledWithWhatTheyNeed) {
+TEST(Dependencies, DependentsAreCancelledWithTheirDependency) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   submit_chain(cluster, {array_job("wk-1", 2, 300), array_job("wk-2", 2, 5)});
-  cluster.submit("n1", after(array_job("wk-3", 2, 5), {"wk-2"}));
+  cluster.submit("n1", with_dependencies(array_job("wk-3", 2, 5), {"wk-2"}));
   ASSERT_EQ(cluster.cancel_until_final("n2", "wk-1", 30000).stage(), "withdrawn");
   for (const char* node : {"n0", "n1", "n2"})
     for (const char* id : {"wk-2", "wk-3"}) EXPECT_EQ(cluster.poll(node, id).stage(), "withdrawn");
-  // Accepted all the same, and never called queued.
-  const auto later = cluster.submit("n1", after(array_job("wk-4", 1, 5), {"wk-3"}));
-  EXPECT_EQ(later.status, 201);
-  EXPECT_EQ(later.stage(), "withdrawn");
+  // A job that depends on a cancelled job is accepted, but it is withdrawn from the beginning.
+  const auto late_submission =
+      cluster.submit("n1", with_dependencies(array_job("wk-4", 1, 5), {"wk-3"}));
+  EXPECT_EQ(late_submission.status, 201);
+  EXPECT_EQ(late_submission.stage(), "withdrawn");
   EXPECT_EQ(cluster.poll("n2", "wk-4").stage(), "withdrawn");
   cluster.time.run_for(60000);
   EXPECT_EQ(cluster.state.count("open/"), 0u);
@@ -27,24 +28,26 @@
   cluster.expect_no_violations();
 }
 
-// `done` won the race with the cancellation: what follows goes on.
-TEST(Dependencies, GoOnIfTheCancellationCameTooLate) {
+// The cancellation of a job races with its final status `done`. The dependent follows the outcome:
+// it runs if the job is done, and is withdrawn if the job is withdrawn.
+TEST(Dependencies, DependentsFollowTheOutcomeOfALateCancellation) {
   for (const Ms delay : {0, 20, 100, 400}) {
     SimulatedCluster cluster;
     ASSERT_TRUE(cluster.wait_for_leader());
     submit_chain(cluster, {array_job("wk-1", 1, 5), array_job("wk-2", 1, 5)});
     while (cluster.checker.finished.count({"wk-1", 0}) == 0) cluster.time.run_for(5);
     cluster.time.run_for(delay);
-    const auto told = cluster.cancel_until_final("n1", "wk-1", 30000);
-    EXPECT_TRUE(cluster.reaches("wk-2", told.stage(), 60000)) << told.stage();
+    const auto answer = cluster.cancel_until_final("n1", "wk-1", 30000);
+    EXPECT_TRUE(cluster.reaches("wk-2", answer.stage(), 60000)) << answer.stage();
     cluster.expect_no_violations();
   }
 }
 
-// The head of a long chain is cancelled, the store goes down at once and for longer than cancel_s,
-// and the leader ends: no node that answers says anything but withdrawn.
-TEST(Dependencies, CancelledThroughAnOutageAndAChangeOfLeader) {
-  for (const bool leader_ends : {false, true}) {
+// The first job of a long chain is cancelled. Then the state service is down for longer than
+// cancel_s; with `kill_leader`, the leader is killed too. A node that answers a poll must report
+// every job of the chain as withdrawn.
+TEST(Dependencies, DependentsStayWithdrawnDuringOutageAndFailover) {
+  for (const bool kill_leader : {false, true}) {
     SimulatedCluster cluster;
     ASSERT_TRUE(cluster.wait_for_leader());
     std::vector<wire::Job> chain{array_job("wk-1", 2, 300)};
@@ -52,19 +55,19 @@
     submit_chain(cluster, chain);
     ASSERT_EQ(cluster.cancel_until_final("n0", "wk-1", 30000).stage(), "withdrawn");
     cluster.state.down = true;
-    const std::string old = cluster.leader();
-    if (leader_ends) cluster.kill(old);
-    const auto ask_all = [&] {
+    const std::string old_leader = cluster.leader();
+    if (kill_leader) cluster.kill(old_leader);
+    const auto poll_all = [&] {
       for (int i = 2; i <= 12; ++i)
         for (const std::string node : {"n0", "n1", "n2"})
-          if (!leader_ends || old != node) cluster.poll(node, "wk-" + std::to_string(i));
+          if (!kill_leader || old_leader != node) cluster.poll(node, "wk-" + std::to_string(i));
     };
     for (int i = 0; i < 12; ++i) {
       cluster.time.run_for(5000);
-      ask_all();
+      poll_all();
     }
     cluster.state.come_back();
-    if (leader_ends) cluster.start(old);
+    if (kill_leader) cluster.start(old_leader);
     EXPECT_TRUE(cluster.reaches("wk-12", "withdrawn", 30000));
     cluster.time.run_for(20000);
     EXPECT_EQ(cluster.state.count("open/"), 0u);
@@ -72,19 +75,21 @@
   }
 }
 
-// No leader can be had, the store can: the nodes walk the chain there.
-TEST(Dependencies, NodesWithoutALeaderDeriveTheEnd) {
+// A node that reaches the state service, but no leader, reads the chain of dependencies from the
+// state service, and derives from it that a job is withdrawn.
+TEST(Dependencies, NodesWithoutALeaderDeriveTheCancellation) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   submit_chain(cluster,
                {array_job("wk-1", 2, 300), array_job("wk-2", 1, 5), array_job("wk-3", 1, 5)});
   const std::string leader = cluster.leader(), follower = cluster.follower();
   EXPECT_EQ(cluster.poll(follower, "wk-3").stage(), "queued");
-  // The leader writes nothing more but the first end, and hears nobody.
+  // The state service refuses all transactions of the leader except the one that writes the final
+  // status of wk-1. Once that is written, no message between nodes passes.
   cluster.net.set_rule([leader](const std::string& from, const net::Call& call) {
     Delivery delivery;
-    const bool first = call.body.find("ends/wk-1") != std::string::npos;
-    if (from == leader && call.path == "/txn" && !first) delivery.status = 503;
+    const bool writes_first_status = call.body.find("ends/wk-1") != std::string::npos;
+    if (from == leader && call.path == "/txn" && !writes_first_status) delivery.status = 503;
     return delivery;
   });
   ASSERT_EQ(cluster.cancel_until_final(leader, "wk-1", 30000).stage(), "withdrawn");
@@ -94,28 +99,29 @@
   cluster.expect_no_violations();
 }
 
-// The end of the first is in the store, its answer is lost: while the leader does not know, it must
-// not call the second queued, since another node has read it as withdrawn.
-TEST(Dependencies, NothingIsSaidFromMemoryWhileAnEndUpstreamIsInDoubt) {
+// The final status of wk-1 is stored, but the answer to this write is lost, so the leader does not
+// know the outcome. Until it does, it must not report wk-2 as queued: another node has read the
+// final status and has already reported wk-2 as withdrawn.
+TEST(Dependencies, LeaderDoesNotReportQueuedWhileAFinalStatusIsUnknown) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   submit_chain(cluster, {array_job("wk-1", 1, 300), array_job("wk-2", 1, 5)});
   const std::string leader = cluster.leader(), follower = cluster.follower();
-  bool cut = false;
+  bool answer_lost = false;
   cluster.net.set_rule([&](const std::string& from, const net::Call& call) {
     Delivery delivery;
     if (from != leader || call.endpoint != "state:1") return delivery;
     if (call.body.find("\"write\":\"ends/wk-1\"") != std::string::npos) {
       delivery.lose_answer = true;
-      cut = true;
-    } else if (cut && std::string_view(call.method) == "GET") {
+      answer_lost = true;
+    } else if (answer_lost && std::string_view(call.method) == "GET") {
       delivery.status = 503;
     }
     return delivery;
   });
   cluster.cancel_without_waiting(leader, "wk-1");
-  for (int i = 0; i < 3000 && !cut; ++i) cluster.time.run_for(1);
-  ASSERT_TRUE(cut);
+  for (int i = 0; i < 3000 && !answer_lost; ++i) cluster.time.run_for(1);
+  ASSERT_TRUE(answer_lost);
   cluster.time.run_for(200);
   cluster.net.set_peer_rule([](const std::string&, const std::string&) { return false; });
   EXPECT_EQ(cluster.poll(follower, "wk-2").stage(), "withdrawn");
@@ -126,18 +132,19 @@
   cluster.expect_no_violations();
 }
 
-// News of an acceptance that comes after the job's end does not bring it back.
-TEST(Dependencies, LateNewsOfACancelledJobIsOld) {
+// A JobAccepted message that arrives after the job's final status was written must not reopen the
+// job.
+TEST(Dependencies, LateAcceptanceMessageDoesNotReopenACancelledJob) {
   SimulatedCluster cluster;
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.submit("n0", array_job("wk-1", 1, 3));
-  const auto second = after(array_job("wk-2", 1, 300), {"wk-1"});
-  cluster.submit("n0", second);
+  const auto dependent = with_dependencies(array_job("wk-2", 1, 300), {"wk-1"});
+  cluster.submit("n0", dependent);
   ASSERT_TRUE(cluster.reaches("wk-2", "running", 60000));
   const std::string leader = cluster.leader(), follower = cluster.follower();
   ASSERT_EQ(cluster.cancel_until_final(leader, "wk-2", 30000).stage(), "withdrawn");
   cluster.time.run_for(5000);
-  const std::string record = leader::encode_open_record(second, 1).dump();
+  const std::string record = leader::encode_open_record(dependent, 1).dump();
   cluster.deliver(follower, leader, rpc::JobAccepted{"wk-2", record, 1'000'000});
   for (int i = 0; i < 5; ++i) {
     EXPECT_EQ(cluster.poll(follower, "wk-2").stage(), "withdrawn");
--- a/tests/dependency_unreadable_test.cc
+++ b/tests/dependency_unreadable_test.cc
@@ -1,4 +1,4 @@
-// Final statuses that can't be read: neither answers nor starts may follow from them.
+// Unreadable final statuses: a node may neither answer users nor start dependents because of them.
 #include <gtest/gtest.h>
 
 #include "dependent_jobs.h"
@@ -7,24 +7,25 @@
 namespace seampass::fakes {
 namespace {
 
-// What a read of wk-1's final status is answered with, though the record is there: values that say
-// no final status.
-std::vector<std::string> unreadable_ends() {
-  std::vector<std::string> bodies;
+// Answers of the state service to a read of wk-1's final status. Each contains a value, but none of
+// the values is a valid final status.
+std::vector<std::string> unreadable_status_replies() {
+  std::vector<std::string> replies;
   for (const char* value : {R"({"stage":"finished","done":0})", R"({"stage":"queued","done":0})",
                             R"({"stage":"running","done":0})", R"({"done":2})", R"("withdrawn")"})
-    bodies.push_back(std::string(R"({"path":"ends/wk-1","stamp":9,"v":)") + value + "}");
-  return bodies;
+    replies.push_back(std::string(R"({"path":"ends/wk-1","stamp":9,"v":)") + value + "}");
+  return replies;
 }
 
-// The cancellation of the first is durable, its answer is lost, and what the leader then reads says
-// no final status: that is neither `done`, by which the second would start, nor an end.
-TEST(Dependencies, AnUnreadableEndPermitsNothing) {
-  for (const std::string& body : unreadable_ends()) {
+// The final status of the cancelled wk-1 is stored, but the answer to this write is lost, and the
+// leader then reads an invalid value in its place. The leader must not treat that value as `done`,
+// which would start wk-2, nor as any other final status.
+TEST(Dependencies, UnreadableFinalStatusStartsNoDependent) {
+  for (const std::string& body : unreadable_status_replies()) {
     SimulatedCluster cluster;
     ASSERT_TRUE(cluster.wait_for_leader());
     cluster.submit("n0", array_job("wk-1", 1, 300));
-    cluster.submit("n0", after(array_job("wk-2", 1, 300), {"wk-1"}));
+    cluster.submit("n0", with_dependencies(array_job("wk-2", 1, 300), {"wk-1"}));
     ASSERT_TRUE(cluster.reaches("wk-1", "running", 60000));
     const std::string leader = cluster.leader();
     cluster.net.set_rule([&](const std::string& from, const net::Call& call) {
@@ -37,13 +38,14 @@
     });
     cluster.cancel_without_waiting(leader, "wk-1");
     while (!cluster.state.has("ends/wk-1") && cluster.time.now() < 120000) cluster.time.run_for(10);
-    // The user is told by a node that can read it.
+    // A follower, which reads the stored value, tells the user that the job is withdrawn.
     EXPECT_EQ(cluster.poll(cluster.follower(), "wk-1").stage(), "withdrawn");
     for (int i = 0; i < 60; ++i) {
       cluster.time.run_for(1000);
       for (const char* id : {"wk-1", "wk-2"}) {
-        const auto told = cluster.poll(leader, id);
-        EXPECT_TRUE(told.status == 503 || told.stage() == "withdrawn") << id << " " << told.body;
+        const auto answer = cluster.poll(leader, id);
+        EXPECT_TRUE(answer.status == 503 || answer.stage() == "withdrawn")
+            << id << " " << answer.body;
       }
     }
     EXPECT_EQ(cluster.checker.starts.count({"wk-2", 0}), 0u) << body;
@@ -54,24 +56,24 @@
   }
 }
 
-// A node that reads no final status where one is says nothing, and the next leader waits with what
-// depends on it.
-TEST(Dependencies, AnUnreadableEndIsNoAnswer) {
-  for (const std::string& body : unreadable_ends()) {
+// A node that reads an invalid value in place of a final status answers polls with 503. The job's
+// dependents must wait: a submission that depends on it gets 503 too, until the value is readable.
+TEST(Dependencies, UnreadableFinalStatusIsNotReported) {
+  for (const std::string& body : unreadable_status_replies()) {
     SimulatedCluster cluster;
     ASSERT_TRUE(cluster.wait_for_leader());
     cluster.submit("n0", array_job("wk-1", 1, 3));
     ASSERT_TRUE(cluster.reaches("wk-1", "done", 60000));
-    const std::string old = cluster.leader();
-    cluster.kill(old);
+    const std::string old_leader = cluster.leader();
+    cluster.kill(old_leader);
     while (cluster.leader().empty()) cluster.time.run_for(10);
     const std::string leader = cluster.leader();
-    for (const char* node : {"n0", "n1", "n2"})  // nothing is left in any cache
-      if (node != leader && node != old) {
+    for (const char* node : {"n0", "n1", "n2"})  // a restart empties a node's caches
+      if (node != leader && node != old_leader) {
         cluster.kill(node);
         cluster.start(node);
       }
-    cluster.start(old);
+    cluster.start(old_leader);
     cluster.time.run_for(5000);
     cluster.net.set_rule([&](const std::string&, const net::Call& call) {
       Delivery delivery;
@@ -80,9 +82,14 @@
     });
     for (const char* node : {"n0", "n1", "n2"})
       EXPECT_EQ(cluster.poll(node, "wk-1").status, 503) << body;
-    EXPECT_EQ(cluster.submit(old, after(array_job("wk-2", 1, 3), {"wk-1"})).status, 503) << body;
+    EXPECT_EQ(
+        cluster.submit(old_leader, with_dependencies(array_job("wk-2", 1, 3), {"wk-1"})).status,
+        503)
+        << body;
     cluster.net.set_rule({});
-    EXPECT_EQ(cluster.submit(old, after(array_job("wk-2", 1, 3), {"wk-1"})).status, 201);
+    EXPECT_EQ(
+        cluster.submit(old_leader, with_dependencies(array_job("wk-2", 1, 3), {"wk-1"})).status,
+        201);
     EXPECT_TRUE(cluster.reaches("wk-2", "done", 60000));
     cluster.expect_no_violations();
   }
--- a/tests/dependent_jobs.h
+++ b/tests/dependent_jobs.h
@@ -1,4 +1,4 @@
-// Jobs that depend on others, for the tests of a whole deployment in simulated time.
+// Helpers that build and submit jobs with dependencies, for tests on a SimulatedCluster.
 #pragma once
 
 #include <string>
@@ -9,17 +9,18 @@
 
 namespace seampass::fakes {
 
-inline wire::Job after(wire::Job job, std::vector<std::string> dependencies) {
+// Returns the job with these dependencies (ids of jobs) in place of its own.
+inline wire::Job with_dependencies(wire::Job job, std::vector<std::string> dependencies) {
   job.dependencies = std::move(dependencies);
   return job;
 }
 
-// Through n0: each depends on the one before it.
+// Submits the jobs through n0, in their order. Each job depends on the job before it.
 inline void submit_chain(SimulatedCluster& cluster, const std::vector<wire::Job>& jobs) {
-  std::vector<std::string> before;
+  std::vector<std::string> previous;
   for (const wire::Job& job : jobs) {
-    cluster.submit("n0", after(job, before));
-    before = {job.id};
+    cluster.submit("n0", with_dependencies(job, previous));
+    previous = {job.id};
   }
 }
 
