--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -10,15 +10,17 @@
 namespace seampass::net {
 
 namespace {
-constexpr std::size_t kMaxResponse = 8U << 20;  // no honest answer is near this
-// The least that is not due in the turn of the loop in which it is set.
-constexpr Ms kNextTurn = 1;
-constexpr std::size_t kReadBytes = 8192;
-constexpr std::size_t kHeadBytes = 160;  // of a request, as a rule: reserved at once
+constexpr std::size_t kMaxResponse = 8U << 20;  // far above the size of any correct reply
+// The shortest delay with which a timer expires in the next loop iteration, not in the current one.
+constexpr Ms kNextIteration = 1;
+constexpr std::size_t kReadBufferBytes = 8192;
+// The request line and headers are usually shorter than this many bytes. request_text reserves them
+// in advance to avoid reallocation.
+constexpr std::size_t kTypicalHeadBytes = 160;
 
 std::string request_text(const Call& call) {
   std::string text;
-  text.reserve(kHeadBytes + call.body.size());
+  text.reserve(kTypicalHeadBytes + call.body.size());
   text.append(call.method).append(" ").append(call.path).append(" HTTP/1.1\r\nHost: ");
   text.append(call.endpoint).append("\r\n");
   if (!call.body.empty() || std::strcmp(call.method, "POST") == 0) {
@@ -36,18 +38,18 @@
   uv_connect_t connect_request;
   uv_write_t write_request;
   http_parser parser;
-  std::string request;  // until it is written
-  std::string body;     // of the reply, as far as it has arrived
+  std::string request;  // must stay unchanged until it is written
+  std::string body;     // the part of the reply's body that has arrived
   ReplyFn done;
   TimerId timer = 0;
   bool connected = false, closing = false, writing = false;
   bool idle = false;
-  std::list<Connection*>::iterator place;  // in idle_order_, while idle
-  std::array<char, kReadBytes> buffer;
+  std::list<Connection*>::iterator idle_position;  // in idle_order_; valid only while idle
+  std::array<char, kReadBufferBytes> buffer;
 
   uv_stream_t* stream() { return reinterpret_cast<uv_stream_t*>(&tcp); }
 
-  void start_request() {
+  void send_request() {
     body.clear();
     http_parser_init(&parser, HTTP_RESPONSE);
     const uv_buf_t bytes = uv_buf_init(request.data(), static_cast<unsigned>(request.size()));
@@ -65,7 +67,7 @@
     }
   }
 
-  // The request's callback, of which this connection lets go together with its timeout.
+  // Cancels the request's timeout and returns its callback, which this connection no longer holds.
   [[nodiscard]] ReplyFn end_request() {
     if (timer != 0) owner->loop_.cancel(timer);
     timer = 0;
@@ -74,18 +76,21 @@
 
   void fail(Reply::Fate fate) {
     close();
-    const ReplyFn reply_to = end_request();
-    if (reply_to) reply_to(Reply{fate, 0, {}});
+    const ReplyFn callback = end_request();
+    if (callback) callback(Reply{fate, 0, {}});
   }
 
-  // Timers run before sockets are read. In a process that is behind, a turn of the loop takes a
-  // good part of the timeout, and the answer is likely to be there, unread: it is overdue only if
-  // the turn that begins now does not bring it either. (Without this every request of a busy leader
-  // counts as unanswered, its connection is closed, and the next one takes two turns longer.)
-  void wait_for_last_turn() {
-    timer = owner->loop_.after(kNextTurn, [this] {
+  // Called when the request's timeout expires. Fails the request after one more loop
+  // iteration, unless that iteration reads the reply. libuv runs timers before it reads sockets,
+  // and in an overloaded process one loop iteration can take a large part of the timeout, so the
+  // reply has often arrived but has not been read. Without this delay every request of an
+  // overloaded leader would time out, its connection would be closed, and the next request would
+  // need two more loop iterations to open a new one.
+  void fail_after_next_iteration() {
+    timer = owner->loop_.after(kNextIteration, [this] {
       timer = 0;
-      // A connection attempt that is abandoned does not complete later, so nothing was sent.
+      // fail() closes the socket. A connection attempt that is closed cannot complete later, so a
+      // request on a connection that is not yet open was never sent.
       fail(connected ? Reply::Fate::unknown : Reply::Fate::not_sent);
     });
   }
@@ -93,7 +98,7 @@
   void close() {
     if (closing) return;
     closing = true;
-    owner->forget(this);
+    owner->unregister(this);
     uv_close(reinterpret_cast<uv_handle_t*>(&tcp),
              [](uv_handle_t* handle) { delete static_cast<Connection*>(handle->data); });
   }
@@ -106,7 +111,7 @@
 
 namespace {
 
-// What one run of the parser over new bytes gives.
+// What the parser has read of the reply after one call with new bytes.
 struct Parsed {
   std::string body;
   bool complete = false;
@@ -140,7 +145,7 @@
   if (status != 0) return fail(Reply::Fate::not_sent);
   connected = true;
   start_reading();
-  start_request();
+  send_request();
 }
 
 void HttpClient::Connection::start_reading() {
@@ -155,9 +160,9 @@
       });
 }
 
-// A size below 0 is the connection's end or an error.
+// A negative size means that the server closed the connection or that reading failed.
 void HttpClient::Connection::on_read(ssize_t size, const char* bytes) {
-  if (!done) return close();  // bytes or an end on an idle connection
+  if (!done) return close();  // the server sent bytes or closed while idle
   Parsed parsed;
   parsed.body = std::move(body);
   parser.data = &parsed;
@@ -174,20 +179,21 @@
 
 void HttpClient::Connection::on_reply(bool keep_alive) {
   const Reply reply{Reply::Fate::answered, static_cast<int>(parser.status_code), std::move(body)};
-  const ReplyFn reply_to = end_request();
-  // Before the callback, which may send the next request on this connection.
+  const ReplyFn callback = end_request();
+  // The connection is released before the callback runs, so that the callback can send its next
+  // request on it.
   if (keep_alive)
     owner->release(this);
   else
     close();
-  reply_to(reply);
+  callback(reply);
 }
 
 HttpClient::HttpClient(Loop& loop, std::size_t max_idle) : loop_(loop), max_idle_(max_idle) {}
 
 HttpClient::~HttpClient() {
-  while (!all_.empty()) {
-    Connection* connection = *all_.begin();
+  while (!connections_.empty()) {
+    Connection* connection = *connections_.begin();
     connection->done = nullptr;
     if (connection->timer != 0) loop_.cancel(connection->timer);
     connection->close();
@@ -196,28 +202,28 @@
 
 void HttpClient::release(Connection* connection) {
   if (connection->writing) return connection->close();
-  idle_[connection->endpoint].push_back(connection);
-  connection->place = idle_order_.insert(idle_order_.end(), connection);
+  idle_by_endpoint_[connection->endpoint].push_back(connection);
+  connection->idle_position = idle_order_.insert(idle_order_.end(), connection);
   connection->idle = true;
   if (idle_order_.size() > max_idle_) idle_order_.front()->close();
 }
 
-void HttpClient::forget(Connection* connection) {
-  all_.erase(connection);
+void HttpClient::unregister(Connection* connection) {
+  connections_.erase(connection);
   if (!connection->idle) return;
-  idle_order_.erase(connection->place);
-  const auto it = idle_.find(connection->endpoint);
+  idle_order_.erase(connection->idle_position);
+  const auto it = idle_by_endpoint_.find(connection->endpoint);
   std::erase(it->second, connection);
-  if (it->second.empty()) idle_.erase(it);
+  if (it->second.empty()) idle_by_endpoint_.erase(it);
 }
 
 HttpClient::Connection* HttpClient::take_idle(const std::string& endpoint) {
-  const auto it = idle_.find(endpoint);
-  if (it == idle_.end()) return nullptr;
+  const auto it = idle_by_endpoint_.find(endpoint);
+  if (it == idle_by_endpoint_.end()) return nullptr;
   Connection* connection = it->second.back();
   it->second.pop_back();
-  if (it->second.empty()) idle_.erase(it);
-  idle_order_.erase(connection->place);
+  if (it->second.empty()) idle_by_endpoint_.erase(it);
+  idle_order_.erase(connection->idle_position);
   connection->idle = false;
   return connection;
 }
@@ -235,7 +241,7 @@
   uv_tcp_init(loop_.raw(), &connection->tcp);
   uv_tcp_nodelay(&connection->tcp, 1);
   connection->tcp.data = connection;
-  all_.insert(connection);
+  connections_.insert(connection);
   connection->connect_request.data = connection;
   const int error = uv_tcp_connect(&connection->connect_request, &connection->tcp,
                                    reinterpret_cast<const sockaddr*>(&address),
@@ -253,8 +259,9 @@
   if (connection == nullptr) return done(Reply{Reply::Fate::not_sent, 0, {}});
   connection->request = request_text(call);
   connection->done = std::move(done);
-  connection->timer = loop_.after(call.timeout, [connection] { connection->wait_for_last_turn(); });
-  if (connection->connected) connection->start_request();
+  connection->timer =
+      loop_.after(call.timeout, [connection] { connection->fail_after_next_iteration(); });
+  if (connection->connected) connection->send_request();
 }
 
 }  // namespace seampass::net
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -13,17 +13,20 @@
 
 constexpr std::size_t kMaxPath = 2048;
 constexpr std::uint32_t kMaxHeaderBytes = 16U << 10;
-constexpr std::size_t kHeadBytes = 128;  // of a response, as a rule: reserved at once
-// Parts of the bound on connections, as divisors, that are left for those who come: beyond the rest
-// a lasting connection is closed with the answer.
-constexpr std::size_t kRoomPart = 16;
-constexpr std::size_t kRoomPartOfIdle = 8;  // where the one who asked has little use for it
-// The part of the time for a slow request that a new connection has for its first byte.
-constexpr Ms kFirstBytePart = 8;
+// The status line and headers of a response are usually shorter than this many bytes. response_text
+// reserves them in advance to avoid reallocation.
+constexpr std::size_t kTypicalHeadBytes = 128;
+// The server reserves 1/16 of max_connections for new connections, and 1/8 if the response sets
+// may_close. While fewer connections than the reserve are free, a worker's connection is closed
+// together with its answer.
+constexpr std::size_t kReserveDivisor = 16;
+constexpr std::size_t kReserveDivisorIfMayClose = 8;
+// A connection that has not sent any byte can be evicted after 1/8 of ServerLimits::slow.
+constexpr Ms kFirstByteDivisor = 8;
 
 std::string response_text(const Response& response, bool keep_alive) {
   std::string text;
-  text.reserve(kHeadBytes + response.body.size());
+  text.reserve(kTypicalHeadBytes + response.body.size());
   text.append("HTTP/1.1 ").append(std::to_string(response.status)).append(" ");
   text.append(http_status_str(static_cast<http_status>(response.status)));
   text.append("\r\nContent-Type: application/json\r\nContent-Length: ");
@@ -42,20 +45,22 @@
   uv_tcp_t tcp;
   http_parser parser;
   Request request;
-  bool in_request = false;  // bytes of a request have come, it is not complete
-  bool waiting = false;     // a complete request is being answered
-  bool keep = true, closing = false, too_big = false;
-  bool lasting = false;
-  Idle idle = busy;
-  std::list<Connection*>::iterator place;  // in idle_[idle]
-  Ms since = 0;
-  std::string left;  // bytes after a complete request
+  bool in_request = false;       // a part of a request has been received, but not all of it
+  bool awaiting_answer = false;  // the request is complete and not yet answered
+  bool keep_alive = true, closing = false, body_too_large = false;
+  bool from_worker = false;
+  IdleList idle_list = none;
+  std::list<Connection*>::iterator idle_position;  // in idle_[idle_list], unless that is none
+  // When the connection was accepted, the current request began, or the last answer was given,
+  // whichever is latest.
+  Ms state_since = 0;
+  std::string pipelined;  // bytes received after a complete request
 
   void on_read(ssize_t size, const char* bytes);
   void close() {
     if (closing) return;
     closing = true;
-    owner->park(this, busy);
+    owner->set_idle_list(this, none);
     owner->connections_.erase(id);
     uv_close(reinterpret_cast<uv_handle_t*>(&tcp),
              [](uv_handle_t* handle) { delete static_cast<Connection*>(handle->data); });
@@ -74,7 +79,7 @@
   }
   static int on_body(http_parser* parser, const char* at, std::size_t size) {
     if (connection_of(parser)->request.body.size() + size > kMaxBody) {
-      connection_of(parser)->too_big = true;
+      connection_of(parser)->body_too_large = true;
       return 1;
     }
     connection_of(parser)->request.body.append(at, size);
@@ -82,7 +87,7 @@
   }
   static int on_headers(http_parser* parser) {
     if (parser->content_length != ULLONG_MAX && parser->content_length > kMaxBody) {
-      connection_of(parser)->too_big = true;
+      connection_of(parser)->body_too_large = true;
       return -1;
     }
     return 0;
@@ -90,8 +95,8 @@
   static int on_complete(http_parser* parser) {
     Connection* connection = connection_of(parser);
     connection->request.method = http_method_str(static_cast<http_method>(parser->method));
-    connection->keep = http_should_keep_alive(parser) != 0;
-    connection->waiting = true;
+    connection->keep_alive = http_should_keep_alive(parser) != 0;
+    connection->awaiting_answer = true;
     http_parser_pause(parser, 1);
     return 0;
   }
@@ -106,29 +111,29 @@
     return settings;
   }
 
-  static void feed(Connection* connection, const char* data, std::size_t size) {
+  static void parse(Connection* connection, const char* data, std::size_t size) {
     HttpServer* server = connection->owner;
     if (!connection->in_request) {
       connection->in_request = true;
-      connection->since = server->loop_.now();
-      server->park(connection, HttpServer::busy);
+      connection->state_since = server->loop_.now();
+      server->set_idle_list(connection, HttpServer::none);
     }
     const http_parser_settings callbacks = settings();
-    const std::size_t used = http_parser_execute(&connection->parser, &callbacks, data, size);
+    const std::size_t consumed = http_parser_execute(&connection->parser, &callbacks, data, size);
     const std::uint64_t id = connection->id;
-    if (connection->waiting) {
-      if (used < size) connection->left.assign(data + used, size - used);
+    if (connection->awaiting_answer) {
+      if (consumed < size) connection->pipelined.assign(data + consumed, size - consumed);
       connection->in_request = false;
-      connection->lasting = connection->request.path == server->limits_.lasting_path;
+      connection->from_worker = connection->request.path == server->limits_.lasting_path;
       server->handler_(connection->request,
                        [server, id](const Response& response) { server->answer(id, response); });
       return;
     }
     if (HTTP_PARSER_ERRNO(&connection->parser) == HPE_OK) return;
-    connection->keep = false;
-    connection->waiting = true;
+    connection->keep_alive = false;
+    connection->awaiting_answer = true;
     server->answer(id,
-                   connection->too_big
+                   connection->body_too_large
                        ? Response{HTTP_STATUS_PAYLOAD_TOO_LARGE, R"({"error":"body too large"})"}
                        : Response{HTTP_STATUS_BAD_REQUEST, R"({"error":"malformed request"})"});
   }
@@ -142,7 +147,7 @@
   http_parser_set_max_header_size(kMaxHeaderBytes);
   uv_tcp_init(loop_.raw(), listener_);
   listener_->data = this;
-  loop_.after(limits_.slow / 2, [this] { sweep(); });
+  loop_.after(limits_.slow / 2, [this] { close_timed_out(); });
 }
 
 HttpServer::~HttpServer() {
@@ -166,20 +171,21 @@
 void HttpServer::accept() {
   auto* connection = new Connection{};
   connection->owner = this;
-  connection->id = next_++;
-  connection->since = loop_.now();
+  connection->id = next_id_++;
+  connection->state_since = loop_.now();
   uv_tcp_init(loop_.raw(), &connection->tcp);
   connection->tcp.data = connection;
   http_parser_init(&connection->parser, HTTP_REQUEST);
   connection->parser.data = connection;
   connections_[connection->id] = connection;
-  park(connection, fresh);
+  set_idle_list(connection, unused);
   if (uv_accept(reinterpret_cast<uv_stream_t*>(listener_),
                 reinterpret_cast<uv_stream_t*>(&connection->tcp)) != 0)
     return connection->close();
-  // A new one beyond the bound displaces one without a request; if all have one, it is closed at
-  // once, and the load balancer, or the worker, tries another node.
-  if (connections_.size() > limits_.max_connections && !make_room()) return connection->close();
+  // If the new connection exceeds max_connections, the server evicts an idle connection. If none
+  // can be evicted, the server closes the new connection at once, and the load balancer or the
+  // worker tries another node.
+  if (connections_.size() > limits_.max_connections && !evict_idle()) return connection->close();
   uv_tcp_nodelay(&connection->tcp, 1);
   uv_read_start(
       reinterpret_cast<uv_stream_t*>(&connection->tcp),
@@ -192,54 +198,59 @@
       });
 }
 
-// A size below 0 is the connection's end or an error.
+// A negative size means that the client closed the connection or that reading failed.
 void HttpServer::Connection::on_read(ssize_t size, const char* bytes) {
   if (size < 0) return close();
   if (size == 0) return;
   const auto count = static_cast<std::size_t>(size);
-  if (!waiting) return ServerParser::feed(this, bytes, count);
-  // Nobody pipelines; a little is stored, a flood is not.
-  if (left.size() + count > kMaxBody) return close();
-  left.append(bytes, count);
+  if (!awaiting_answer) return ServerParser::parse(this, bytes, count);
+  // Our clients do not pipeline requests. Bytes that arrive before the answer are stored up to
+  // kMaxBody; a client that sends more loses its connection, which bounds the memory it can occupy.
+  if (pipelined.size() + count > kMaxBody) return close();
+  pipelined.append(bytes, count);
 }
 
-void HttpServer::park(Connection* connection, Idle where) {
-  if (connection->idle != busy) idle_[connection->idle].erase(connection->place);
-  connection->idle = where;
-  if (where != busy) connection->place = idle_[where].insert(idle_[where].end(), connection);
+void HttpServer::set_idle_list(Connection* connection, IdleList list) {
+  if (connection->idle_list != none) idle_[connection->idle_list].erase(connection->idle_position);
+  connection->idle_list = list;
+  if (list != none) connection->idle_position = idle_[list].insert(idle_[list].end(), connection);
 }
 
-bool HttpServer::make_room() {
-  for (const Idle kind : {user, lasting}) {
-    if (idle_[kind].empty()) continue;
-    idle_[kind].front()->close();
+bool HttpServer::evict_idle() {
+  for (const IdleList list : {user, worker}) {
+    if (idle_[list].empty()) continue;
+    idle_[list].front()->close();
     return true;
   }
-  // A client that has just connected is about to send its request. (The newest is the one that room
-  // is made for.)
-  Connection* oldest = idle_[fresh].front();
-  if (oldest->id + 1 == next_ || loop_.now() - oldest->since < limits_.slow / kFirstBytePart)
+  // A client that has just connected is about to send its request, so an unused connection is
+  // evicted only if it is older than 1/8 of ServerLimits::slow. The newest connection is the one
+  // that needs the free place, so it is never evicted here.
+  Connection* oldest = idle_[unused].front();
+  if (oldest->id + 1 == next_id_ ||
+      loop_.now() - oldest->state_since < limits_.slow / kFirstByteDivisor)
     return false;
   oldest->close();
   return true;
 }
 
-// Room is left for those who come: a machine whose connection was closed comes back with its next
-// heartbeat.
-bool HttpServer::crowded(const Response& response) const {
-  const std::size_t most = limits_.max_connections;
-  const std::size_t room = most / (response.may_close ? kRoomPartOfIdle : kRoomPart);
-  return connections_.size() > most - room;
+// The free connections in the reserve let workers that have no connection connect and send their
+// heartbeats. A worker whose connection is closed because of this check opens a new one for its
+// next heartbeat.
+bool HttpServer::near_limit(const Response& response) const {
+  const std::size_t max_connections = limits_.max_connections;
+  const std::size_t reserve =
+      max_connections / (response.may_close ? kReserveDivisorIfMayClose : kReserveDivisor);
+  return connections_.size() > max_connections - reserve;
 }
 
 void HttpServer::answer(std::uint64_t id, const Response& response) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
   Connection* connection = it->second;
-  if (!connection->waiting) return;
-  if (connection->lasting && crowded(response)) connection->keep = false;
+  if (!connection->awaiting_answer) return;
+  if (connection->from_worker && near_limit(response)) connection->keep_alive = false;
   if (!write(*connection, response)) return connection->close();
-  if (connection->keep) await_next_request(connection);
+  if (connection->keep_alive) await_next_request(connection);
 }
 
 bool HttpServer::write(Connection& connection, const Response& response) {
@@ -247,11 +258,14 @@
     uv_write_t request;
     std::string data;
     HttpServer* server;
-    std::uint64_t connection;
-    bool keep;
+    std::uint64_t connection_id;
+    bool keep_alive;
   };
-  auto pending = std::make_unique<Write>(
-      Write{{}, response_text(response, connection.keep), this, connection.id, connection.keep});
+  auto pending = std::make_unique<Write>(Write{{},
+                                               response_text(response, connection.keep_alive),
+                                               this,
+                                               connection.id,
+                                               connection.keep_alive});
   pending->request.data = pending.get();
   const uv_buf_t bytes =
       uv_buf_init(pending->data.data(), static_cast<unsigned>(pending->data.size()));
@@ -260,36 +274,36 @@
                [](uv_write_t* request, int status) {
                  const std::unique_ptr<Write> written(static_cast<Write*>(request->data));
                  const auto& connections = written->server->connections_;
-                 const auto found = connections.find(written->connection);
-                 if (found != connections.end() && (status != 0 || !written->keep))
+                 const auto found = connections.find(written->connection_id);
+                 if (found != connections.end() && (status != 0 || !written->keep_alive))
                    found->second->close();
                });
-  if (error == 0) (void)pending.release();  // the callback above owns it now
+  if (error == 0) (void)pending.release();  // the write callback above now owns it
   return error == 0;
 }
 
 void HttpServer::await_next_request(Connection* connection) {
-  connection->waiting = false;
+  connection->awaiting_answer = false;
   connection->request = Request{};
-  connection->since = loop_.now();
-  park(connection, connection->lasting ? lasting : user);
+  connection->state_since = loop_.now();
+  set_idle_list(connection, connection->from_worker ? worker : user);
   http_parser_init(&connection->parser, HTTP_REQUEST);
   connection->parser.data = connection;
-  if (connection->left.empty()) return;
-  const std::string left = std::exchange(connection->left, {});
-  ServerParser::feed(connection, left.data(), left.size());
+  if (connection->pipelined.empty()) return;
+  const std::string pipelined = std::exchange(connection->pipelined, {});
+  ServerParser::parse(connection, pipelined.data(), pipelined.size());
 }
 
-void HttpServer::sweep() {
+void HttpServer::close_timed_out() {
   const Ms now = loop_.now();
-  std::vector<Connection*> late;
+  std::vector<Connection*> timed_out;
   for (const auto& [id, connection] : connections_) {
-    if (connection->waiting && connection->keep) continue;
-    if (now - connection->since > (connection->in_request ? limits_.slow : limits_.idle))
-      late.push_back(connection);
+    if (connection->awaiting_answer && connection->keep_alive) continue;
+    if (now - connection->state_since > (connection->in_request ? limits_.slow : limits_.idle))
+      timed_out.push_back(connection);
   }
-  for (Connection* connection : late) connection->close();
-  loop_.after(limits_.slow / 2, [this] { sweep(); });
+  for (Connection* connection : timed_out) connection->close();
+  loop_.after(limits_.slow / 2, [this] { close_timed_out(); });
 }
 
 }  // namespace seampass::net
--- a/src/net/loop.cc
+++ b/src/net/loop.cc
@@ -19,7 +19,7 @@
   uv_timer_t handle;
   Loop* loop;
   TimerId id;
-  std::function<void()> then;
+  std::function<void()> callback;
 };
 
 Loop::Loop() { uv_loop_init(&loop_); }
@@ -30,8 +30,9 @@
   uv_loop_close(&loop_);
 }
 
-// Not uv_now: that is the time at which the loop last woke, which is long ago after a long callback
-// or after the process was suspended.
+// Reads the clock with uv_hrtime and not with uv_now. uv_now returns the time at which the current
+// loop iteration began, which is far in the past after a long callback or after the process was
+// suspended.
 Ms Loop::now() const { return static_cast<Ms>(uv_hrtime() / kNanosecondsPerMs); }
 
 Ms Loop::wall() const {
@@ -40,23 +41,25 @@
       .count();
 }
 
-TimerId Loop::after(Ms delay, std::function<void()> then) {
-  auto* timer = new Timer{{}, this, next_++, std::move(then)};
+TimerId Loop::after(Ms delay, std::function<void()> callback) {
+  auto* timer = new Timer{{}, this, next_id_++, std::move(callback)};
   uv_timer_init(&loop_, &timer->handle);
   timer->handle.data = timer;
   timers_[timer->id] = timer;
-  // libuv counts from the time it last read. Without the difference a timer set late in a long turn
-  // of the loop would fire early, and answers would look overdue before they could have come.
-  const Ms behind = std::max<Ms>(0, now() - static_cast<Ms>(uv_now(&loop_)));
+  // libuv measures a timer's delay from uv_now, the start of the current loop iteration. The time
+  // that has passed since then is therefore added to the delay. Otherwise a timer that is set late
+  // in a long iteration would fire too early, and requests would time out before their replies
+  // could arrive.
+  const Ms since_iteration_start = std::max<Ms>(0, now() - static_cast<Ms>(uv_now(&loop_)));
   uv_timer_start(
       &timer->handle,
       [](uv_timer_t* handle) {
         auto* expired = static_cast<Timer*>(handle->data);
-        const auto then = std::move(expired->then);
+        const auto callback = std::move(expired->callback);
         expired->loop->cancel(expired->id);
-        then();
+        callback();
       },
-      static_cast<std::uint64_t>(std::max<Ms>(0, delay) + behind), 0);
+      static_cast<std::uint64_t>(std::max<Ms>(0, delay) + since_iteration_start), 0);
   return timer->id;
 }
 
@@ -77,15 +80,15 @@
   sockaddr_in address{};
   if (colon == std::string::npos || colon + 1 >= endpoint.size() ||
       endpoint.size() - colon > kMaxPortDigits + 1)
-    throw std::invalid_argument("bad endpoint " + endpoint);
+    throw std::invalid_argument("not an IPv4 address and port: " + endpoint);
   int port = 0;
   for (std::size_t i = colon + 1; i < endpoint.size(); ++i) {
     if (endpoint[i] < '0' || endpoint[i] > '9')
-      throw std::invalid_argument("bad endpoint " + endpoint);
+      throw std::invalid_argument("not an IPv4 address and port: " + endpoint);
     port = port * kDecimalBase + (endpoint[i] - '0');
   }
   if (port > kMaxPort || uv_ip4_addr(endpoint.substr(0, colon).c_str(), port, &address) != 0)
-    throw std::invalid_argument("bad endpoint " + endpoint);
+    throw std::invalid_argument("not an IPv4 address and port: " + endpoint);
   return address;
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,5 @@
-// The libuv loop as a Runtime. Owns the loop and its timers; the only thread of a controller runs
-// it.
+// Loop implements Runtime with a libuv event loop. It owns the libuv loop and all of its timers. A
+// controller has a single thread, which runs this loop.
 #pragma once
 
 #include <uv.h>
@@ -20,21 +20,22 @@
 
   [[nodiscard]] Ms now() const override;
   [[nodiscard]] Ms wall() const override;
-  TimerId after(Ms delay, std::function<void()> then) override;
+  TimerId after(Ms delay, std::function<void()> callback) override;
   void cancel(TimerId id) override;
 
   uv_loop_t* raw() { return &loop_; }
-  // Until nothing is left to wait for.
+  // Runs the loop until no timer or socket is active any more.
   void run();
 
  private:
   struct Timer;
   uv_loop_t loop_;
-  TimerId next_ = 1;
+  TimerId next_id_ = 1;
   std::unordered_map<TimerId, Timer*> timers_;
 };
 
-// "ADDRESS:PORT" as libuv wants it; throws std::invalid_argument.
+// Converts "ADDRESS:PORT", with a numeric IPv4 address, to the form that libuv needs. Throws
+// std::invalid_argument if `endpoint` is not of this form.
 [[nodiscard]] sockaddr_in parse_endpoint(const std::string& endpoint);
 
 }  // namespace seampass::net
--- a/src/net/runtime.h
+++ b/src/net/runtime.h
@@ -1,5 +1,5 @@
-// What actors may use of the outside: a clock, timers and an HTTP caller. Tests inject simulated
-// ones; the real ones are in loop.h and http_client.h.
+// Interfaces through which actors use a clock, timers and HTTP. loop.h and http_client.h contain
+// the real implementations, and tests inject simulated ones. All times are in milliseconds.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,23 @@
 class Runtime {
  public:
   virtual ~Runtime() = default;
-  // Steady, and exact at the moment of asking: a process may stand still for seconds in the middle
-  // of handling something, and leases run on meanwhile. No rule may rest on a time read earlier.
+  // Returns the current time of a monotonic clock, read at the moment of the call. The process may
+  // be suspended for seconds in the middle of a callback, and leases continue to run out in that
+  // time. No rule may depend on a time that was read earlier: code calls now() again at each check
+  // (docs/safety.md, "No cached time").
   virtual Ms now() const = 0;
-  virtual Ms wall() const = 0;  // time of day
-  virtual TimerId after(Ms delay, std::function<void()> then) = 0;
+  // Returns the time of day, in milliseconds since the Unix epoch.
+  virtual Ms wall() const = 0;
+  // Runs `callback` once on the loop's thread, when `delay` has passed.
+  virtual TimerId after(Ms delay, std::function<void()> callback) = 0;
+  // Does nothing if the timer has already fired or been cancelled.
   virtual void cancel(TimerId id) = 0;
 };
 
 struct Reply {
-  // not_sent: certainly never executed. unknown: may have been executed, or may still be.
+  // `answered`: the server replied. `not_sent`: the request never left this process, so the server
+  // never executes it. `unknown`: no complete reply arrived, and the server may have executed the
+  // request or may still execute it later.
   enum class Fate { answered, not_sent, unknown };
   Fate fate = Fate::unknown;
   int status = 0;
@@ -47,6 +54,8 @@
 class HttpCaller {
  public:
   virtual ~HttpCaller() = default;
+  // Sends one request. `done` is called exactly once, possibly before call() returns. It is not
+  // called if this object is destroyed first.
   virtual void call(Call call, ReplyFn done) = 0;
 };
 
