--- a/src/cloud/client.cc
+++ b/src/cloud/client.cc
@@ -18,67 +18,68 @@
       rps_(rps),
       tokens_(rps),
       timeout_(timeout),
-      refilled_(runtime.now()) {}
+      last_refill_(runtime.now()) {}
 
 void Client::catalog(std::function<void(bool, std::vector<wire::MachineType>)> done) {
-  submit(Call{endpoint_, "GET", "/catalog", "", timeout_},
-         [done = std::move(done)](const Reply& r) {
-           if (!r.is(200)) return done(false, {});
-           try {
-             auto types = wire::catalog_from(r.body);
-             const bool any = !types.empty();
-             done(any, std::move(types));
-           } catch (const wire::Malformed& e) {
-             spdlog::error("unreadable catalog: {}", e.what());
-             done(false, {});
-           }
-         });
+  enqueue(Call{endpoint_, "GET", "/catalog", "", timeout_},
+          [done = std::move(done)](const Reply& reply) {
+            if (!reply.is(200)) return done(false, {});
+            try {
+              auto types = wire::catalog_from(reply.body);
+              const bool has_types = !types.empty();
+              done(has_types, std::move(types));
+            } catch (const wire::Malformed& e) {
+              spdlog::error("cannot read the machine catalog of the cloud: {}", e.what());
+              done(false, {});
+            }
+          });
 }
 
 void Client::rent(const wire::Rental& rental,
                   std::function<void(Rented, std::vector<std::string>)> done) {
-  submit(Call{endpoint_, "POST", "/rentals", wire::rental_body(rental), timeout_},
-         [done = std::move(done)](const Reply& r) {
-           if (r.is(200)) {
-             try {
-               return done(Rented::ok, wire::rented_from(r.body));
-             } catch (const wire::Malformed&) {
-               return done(Rented::trouble, {});
-             }
-           }
-           const bool full = r.is(503) && r.body.find("no capacity") != std::string::npos;
-           done(full ? Rented::no_capacity : Rented::trouble, {});
-         });
+  enqueue(Call{endpoint_, "POST", "/rentals", wire::rental_body(rental), timeout_},
+          [done = std::move(done)](const Reply& reply) {
+            if (reply.is(200)) {
+              try {
+                return done(Rented::ok, wire::rented_from(reply.body));
+              } catch (const wire::Malformed&) {
+                return done(Rented::trouble, {});
+              }
+            }
+            const bool no_capacity =
+                reply.is(503) && reply.body.find("no capacity") != std::string::npos;
+            done(no_capacity ? Rented::no_capacity : Rented::trouble, {});
+          });
 }
 
 void Client::remove(const std::vector<std::string>& machines, std::function<void(bool)> done) {
-  submit(Call{endpoint_, "POST", "/rentals/delete", wire::delete_body(machines), timeout_},
-         [done = std::move(done)](const Reply& r) { done(r.is(200)); });
+  enqueue(Call{endpoint_, "POST", "/rentals/delete", wire::delete_body(machines), timeout_},
+          [done = std::move(done)](const Reply& reply) { done(reply.is(200)); });
 }
 
 void Client::machines(const std::string& after, std::function<void(bool, wire::MachinePage)> done) {
   std::string path = "/rentals?most=500";
   if (!after.empty()) path += "&since=" + after;
-  submit(Call{endpoint_, "GET", std::move(path), "", timeout_},
-         [done = std::move(done)](const Reply& r) {
-           if (!r.is(200)) return done(false, {});
-           try {
-             done(true, wire::machines_from(r.body));
-           } catch (const wire::Malformed&) {
-             done(false, {});
-           }
-         });
+  enqueue(Call{endpoint_, "GET", std::move(path), "", timeout_},
+          [done = std::move(done)](const Reply& reply) {
+            if (!reply.is(200)) return done(false, {});
+            try {
+              done(true, wire::machines_from(reply.body));
+            } catch (const wire::Malformed&) {
+              done(false, {});
+            }
+          });
 }
 
-void Client::submit(Call call, net::ReplyFn done) {
+void Client::enqueue(Call call, net::ReplyFn done) {
   queue_.emplace_back(std::move(call), std::move(done));
-  pump();
+  send_queued();
 }
 
-void Client::pump() {
+void Client::send_queued() {
   const Ms now = runtime_.now();
-  tokens_ = std::min(rps_, tokens_ + static_cast<double>(now - refilled_) / 1000.0 * rps_);
-  refilled_ = now;
+  tokens_ = std::min(rps_, tokens_ + static_cast<double>(now - last_refill_) / 1000.0 * rps_);
+  last_refill_ = now;
   while (!queue_.empty() && tokens_ >= 1) {
     tokens_ -= 1;
     auto [call, done] = std::move(queue_.front());
@@ -88,7 +89,7 @@
   if (!queue_.empty() && timer_ == 0)
     timer_ = runtime_.after(net::ms(1 / rps_), [this] {
       timer_ = 0;
-      pump();
+      send_queued();
     });
 }
 
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -1,4 +1,5 @@
-// The actor that speaks to the cloud, within its rate. Malformed answers count as none.
+// Client sends requests to the cloud's HTTP API, at a limited rate. Requests beyond the rate wait
+// in a queue, first in, first out. A malformed answer is treated like a failed request.
 #pragma once
 
 #include <deque>
@@ -18,21 +19,23 @@
   Client(net::Runtime& runtime, net::HttpCaller& http, std::string endpoint, double rps,
          net::Ms timeout);
 
-  // Each `done` gets false, or nothing listed, when there was no good answer.
+  // Each method calls `done` when its request has succeeded or failed. After a failure `done`
+  // receives false, or a result of rent() other than `ok`, and an empty list. An empty catalog is a
+  // failure.
   void catalog(std::function<void(bool, std::vector<wire::MachineType>)> done);
   void rent(const wire::Rental& rental, std::function<void(Rented, std::vector<std::string>)> done);
   void remove(const std::vector<std::string>& machines, std::function<void(bool)> done);
   void machines(const std::string& after, std::function<void(bool, wire::MachinePage)> done);
 
  private:
-  void submit(net::Call call, net::ReplyFn done);
-  void pump();
+  void enqueue(net::Call call, net::ReplyFn done);
+  void send_queued();
 
   net::Runtime& runtime_;
   net::HttpCaller& http_;
   std::string endpoint_;
-  double rps_, tokens_;
-  net::Ms timeout_, refilled_ = 0;
+  double rps_, tokens_;  // token bucket: a request takes one token, rps_ tokens at most
+  net::Ms timeout_, last_refill_ = 0;
   std::deque<std::pair<net::Call, net::ReplyFn>> queue_;
   net::TimerId timer_ = 0;
 };
--- a/src/cloud/machine_catalog.h
+++ b/src/cloud/machine_catalog.h
@@ -1,4 +1,5 @@
-// The machine types as last published; kept, since the cloud can be down.
+// MachineCatalog owns the cloud's machine types and refreshes them periodically. If a refresh
+// fails, for example because the cloud is down, it continues to use the last types that it read.
 #pragma once
 
 #include <map>
@@ -10,25 +11,34 @@
 
 class MachineCatalog {
  public:
-  // refresh: between two good answers (spot prices move); retry: after a bad one.
-  MachineCatalog(net::Runtime& runtime, Client& cloud, net::Ms refresh, net::Ms retry)
-      : runtime_(runtime), cloud_(cloud), refresh_(refresh), retry_(retry) {}
-
+  // `refresh_interval` is the time from a successful request to the next one. The catalog is read
+  // again because spot prices change. `retry_interval` is the time from a failed request to the
+  // next.
+  MachineCatalog(net::Runtime& runtime, Client& cloud, net::Ms refresh_interval,
+                 net::Ms retry_interval)
+      : runtime_(runtime),
+        cloud_(cloud),
+        refresh_interval_(refresh_interval),
+        retry_interval_(retry_interval) {}
+
+  // Requests the catalog now and schedules every later request. Call it once.
   void start() {
-    cloud_.catalog([this](bool good, std::vector<wire::MachineType> types) {
-      if (good) {
+    cloud_.catalog([this](bool succeeded, std::vector<wire::MachineType> types) {
+      if (succeeded) {
         types_.clear();
-        for (auto& t : types) {
-          std::string name = t.name;
-          types_[std::move(name)] = std::move(t);
+        for (auto& type : types) {
+          std::string name = type.name;
+          types_[std::move(name)] = std::move(type);
         }
       }
-      runtime_.after(good ? refresh_ : retry_, [this] { start(); });
+      runtime_.after(succeeded ? refresh_interval_ : retry_interval_, [this] { start(); });
     });
   }
 
+  // Returns true once the catalog has been read successfully.
   bool known() const { return !types_.empty(); }
   const std::map<std::string, wire::MachineType>& types() const { return types_; }
+  // Returns null if the catalog has no machine type of this name.
   const wire::MachineType* find(const std::string& name) const {
     const auto it = types_.find(name);
     return it == types_.end() ? nullptr : &it->second;
@@ -37,7 +47,7 @@
  private:
   net::Runtime& runtime_;
   Client& cloud_;
-  net::Ms refresh_, retry_;
+  net::Ms refresh_interval_, retry_interval_;
   std::map<std::string, wire::MachineType> types_;
 };
 
