--- a/src/workers/client.cc
+++ b/src/workers/client.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-std::optional<wire::Heartbeat> report_of(const net::Reply& reply) {
+std::optional<wire::Heartbeat> heartbeat_of(const net::Reply& reply) {
   try {
     return wire::heartbeat_from(reply.body);
   } catch (const wire::Malformed&) {
@@ -19,32 +19,32 @@
   enqueue({addr, "POST", "/commands", wire::commands_body(token, incarnation, commands), timeout_},
           [done = std::move(done)](const net::Reply& reply) {
             if (reply.fate == net::Reply::Fate::not_sent) return done(Sent::not_sent, {});
-            if (reply.is(200)) return done(Sent::executed, report_of(reply));
-            if (reply.is(409)) return done(Sent::rejected, report_of(reply));
+            if (reply.is(200)) return done(Sent::executed, heartbeat_of(reply));
+            if (reply.is(409)) return done(Sent::rejected, heartbeat_of(reply));
             done(Sent::unknown, {});
           });
 }
 
-void Client::inspect(const std::string& addr, Inspected done) {
+void Client::inspect(const std::string& addr, InspectDone done) {
   enqueue({addr, "GET", "/inspect", "", timeout_},
           [done = std::move(done)](const net::Reply& reply) {
-            done(reply.is(200) ? report_of(reply) : std::nullopt);
+            done(reply.is(200) ? heartbeat_of(reply) : std::nullopt);
           });
 }
 
 void Client::enqueue(net::Call call, net::ReplyFn done) {
-  if (sent_ < most_) return dispatch(std::move(call), std::move(done));
+  if (in_flight_ < max_in_flight_) return dispatch(std::move(call), std::move(done));
   queue_.emplace_back(std::move(call), std::move(done));
 }
 
 void Client::dispatch(net::Call call, net::ReplyFn done) {
-  ++sent_;
+  ++in_flight_;
   http_.call(std::move(call), [this, done = std::move(done)](const net::Reply& reply) {
-    --sent_;
+    --in_flight_;
     if (!queue_.empty()) {
-      auto [next, then] = std::move(queue_.front());
+      auto [next_call, next_done] = std::move(queue_.front());
       queue_.pop_front();
-      dispatch(std::move(next), std::move(then));
+      dispatch(std::move(next_call), std::move(next_done));
     }
     done(reply);
   });
