--- a/tests/callback_scope_test.cc
+++ b/tests/callback_scope_test.cc
@@ -1,4 +1,4 @@
-// net::CallbackScope: which wrapped callbacks are run.
+// Tests which wrapped callbacks a net::CallbackScope runs and which it ignores.
 #include "net/callback_scope.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace seampass::net {
 namespace {
 
-TEST(CallbackScope, RunsWhatWasWrappedInThisPeriod) {
+TEST(CallbackScope, RunsCallbacksWrappedInTheCurrentPeriod) {
   const CallbackScope scope;
   std::string received;
   const std::function<void(const std::string&)> callback =
@@ -22,22 +22,22 @@
   EXPECT_EQ(received, "ab");
 }
 
-TEST(CallbackScope, DropsWhatWasWrappedBeforeItWasRenewed) {
+TEST(CallbackScope, IgnoresCallbacksWrappedBeforeRenew) {
   CallbackScope scope;
-  int before = 0;
-  int after = 0;
-  const auto old_callback = scope.wrap([&] { ++before; });
+  int old_runs = 0;
+  int new_runs = 0;
+  const auto old_callback = scope.wrap([&] { ++old_runs; });
   scope.renew();
-  const auto new_callback = scope.wrap([&] { ++after; });
+  const auto new_callback = scope.wrap([&] { ++new_runs; });
 
   old_callback();
   new_callback();
 
-  EXPECT_EQ(before, 0);
-  EXPECT_EQ(after, 1);
+  EXPECT_EQ(old_runs, 0);
+  EXPECT_EQ(new_runs, 1);
 }
 
-TEST(CallbackScope, DropsEverythingOnceItIsDestroyed) {
+TEST(CallbackScope, IgnoresCallbacksAfterItIsDestroyed) {
   std::optional<CallbackScope> scope(std::in_place);
   int runs = 0;
   const auto callback = scope->wrap([&] { ++runs; });
--- a/tests/formats_messages_test.cc
+++ b/tests/formats_messages_test.cc
@@ -1,8 +1,10 @@
-// The forms of what users, workers and the cloud are sent, as literals, and of what is read from
-// workers and the cloud.
+// Tests the formats of the messages that controllers exchange with users, workers and the cloud.
+// The literals here are the messages that controllers send to all three and the messages that
+// controllers read from workers and the cloud.
 //
-// None of them is upgraded together with the controllers. So a literal here may not be changed
-// along with the program: one that no longer matches means that they are no longer understood.
+// Users, workers and the cloud are not upgraded together with the controllers. A literal here must
+// therefore not be changed to make a test pass: a literal that no longer matches means that the
+// controllers and the other side no longer understand each other.
 #include <gtest/gtest.h>
 
 #include "wire/codec.h"
@@ -39,33 +41,33 @@
 {"pour":"wk-8802/0","try":5,"stage":"ended","exit_cause":"done","kept":true}]})";
 
 TEST(Formats, ReadsTheMachineOfAHeartbeat) {
-  const wire::Heartbeat report = wire::heartbeat_from(kHeartbeat);
-
-  EXPECT_EQ(report.machine, "m-000051");
-  EXPECT_EQ(report.addr, "10.9.8.7:9100");
-  EXPECT_EQ(report.type, "t-large");
-  EXPECT_EQ(report.zone, "zone-3");
-  EXPECT_TRUE(report.spot);
-  EXPECT_EQ(report.incarnation, 3U);
-  EXPECT_EQ(report.sequence, 205U);
-  EXPECT_EQ(report.token, 91U);
-  EXPECT_EQ(report.notice_s, 12.5);
+  const wire::Heartbeat heartbeat = wire::heartbeat_from(kHeartbeat);
+
+  EXPECT_EQ(heartbeat.machine, "m-000051");
+  EXPECT_EQ(heartbeat.addr, "10.9.8.7:9100");
+  EXPECT_EQ(heartbeat.type, "t-large");
+  EXPECT_EQ(heartbeat.zone, "zone-3");
+  EXPECT_TRUE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.incarnation, 3U);
+  EXPECT_EQ(heartbeat.sequence, 205U);
+  EXPECT_EQ(heartbeat.token, 91U);
+  EXPECT_EQ(heartbeat.notice_s, 12.5);
 }
 
 TEST(Formats, ReadsTheTasksOfAHeartbeat) {
   using wire::TaskState;
-  const wire::Heartbeat report = wire::heartbeat_from(kHeartbeat);
+  const wire::Heartbeat heartbeat = wire::heartbeat_from(kHeartbeat);
 
-  ASSERT_EQ(report.tasks.size(), 5U);
+  ASSERT_EQ(heartbeat.tasks.size(), 5U);
   const std::vector<TaskState> states{TaskState::fetching, TaskState::waiting, TaskState::running,
                                       TaskState::saving, TaskState::exited};
   const std::vector<std::uint32_t> indexes{0, 1, 2, 99999, 0};
   for (std::size_t i = 0; i < 5; ++i) {
-    EXPECT_EQ(report.tasks[i].job, i < 4 ? "wk-8801" : "wk-8802");
-    EXPECT_EQ(report.tasks[i].index, indexes[i]);
-    EXPECT_EQ(report.tasks[i].attempt, i + 1);
-    EXPECT_EQ(report.tasks[i].state, states[i]);
-    EXPECT_EQ(report.tasks[i].saved, i == 4);
+    EXPECT_EQ(heartbeat.tasks[i].job, i < 4 ? "wk-8801" : "wk-8802");
+    EXPECT_EQ(heartbeat.tasks[i].index, indexes[i]);
+    EXPECT_EQ(heartbeat.tasks[i].attempt, i + 1);
+    EXPECT_EQ(heartbeat.tasks[i].state, states[i]);
+    EXPECT_EQ(heartbeat.tasks[i].saved, i == 4);
   }
 }
 
@@ -75,21 +77,21 @@
       {"done", ExitCause::done},   {"halted", ExitCause::stopped}, {"peers", ExitCause::peers},
       {"alone", ExitCause::alone}, {"error", ExitCause::error},    {"full", ExitCause::no_room},
       {"busy", ExitCause::busy},   {"no_such", ExitCause::unknown}};
-  for (const auto& [word, cause] : causes) {
-    wire::Json report = wire::Json::parse(kHeartbeat);
-    report["pours"][4]["exit_cause"] = word;
-    EXPECT_EQ(wire::heartbeat_from(report.dump()).tasks.at(4).cause, cause) << word;
+  for (const auto& [cause_text, cause] : causes) {
+    wire::Json heartbeat = wire::Json::parse(kHeartbeat);
+    heartbeat["pours"][4]["exit_cause"] = cause_text;
+    EXPECT_EQ(wire::heartbeat_from(heartbeat.dump()).tasks.at(4).cause, cause) << cause_text;
   }
 }
 
 TEST(Formats, ReadsAHeartbeatOfAnIdleMachineWithoutNotice) {
   for (const char* notice : {R"("recall_s":null,)", ""}) {
-    const wire::Heartbeat report = wire::heartbeat_from(
+    const wire::Heartbeat heartbeat = wire::heartbeat_from(
         std::string(R"({"host":"m-000052","addr":"10.9.8.6:9100","barrel":"t-small",)") + notice +
         R"("cellar":"zone-4","lent_racks":false,"shift":1,"tally":1,"warrant":0,"pours":[]})");
-    EXPECT_FALSE(report.notice_s) << notice;
-    EXPECT_FALSE(report.spot) << notice;
-    EXPECT_TRUE(report.tasks.empty()) << notice;
+    EXPECT_FALSE(heartbeat.notice_s) << notice;
+    EXPECT_FALSE(heartbeat.spot) << notice;
+    EXPECT_TRUE(heartbeat.tasks.empty()) << notice;
   }
 }
 
--- a/tests/malformed_answers_test.cc
+++ b/tests/malformed_answers_test.cc
@@ -1,5 +1,5 @@
-// The state service, the cloud and workers answer with what is no answer. In simulated time,
-// against our own fakes, with a checker of the invariants.
+// The state service, the cloud and the workers send malformed replies to the nodes. The tests run a
+// simulated cluster in simulated time, and an invariant checker observes it.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -10,7 +10,8 @@
 namespace seampass::fakes {
 namespace {
 
-// Bodies of every protocol, with members that are absent or of another type.
+// Reply bodies of each protocol that are not valid JSON, lack fields, or have fields of the wrong
+// type.
 std::vector<std::string> malformed_bodies() {
   return {"",
           "{",
@@ -34,8 +35,9 @@
 
 class MalformedAnswers : public ::testing::TestWithParam<unsigned> {};
 
-// A fifth of all answers to the nodes; no process ends, and no accepted job is lost.
-TEST_P(MalformedAnswers, LoseNoJob) {
+// A fifth of all replies to the nodes are replaced by malformed ones. No node process may end, and
+// every accepted job must be completed after the faults stop.
+TEST_P(MalformedAnswers, NoAcceptedJobIsLost) {
   const std::vector<std::string> bodies = malformed_bodies();
   SimulatedCluster cluster(GetParam());
   std::mt19937 random(GetParam());
