--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -25,7 +25,7 @@
   job.claimed[task] = true;
   machine.attempts[{job.spec.id, task}] = &attempt;
   usage_[job.spec.team] += request_of(job.spec);
-  machine.stale = true;
+  machine.view_stale = true;
   return attempt;
 }
 
@@ -36,7 +36,7 @@
   set_state(attempt, TaskState::exited);
   machine.attempts.erase({job.spec.id, task});
   machine.idle_since = runtime_.now();
-  machine.stale = true;
+  machine.view_stale = true;
   usage_[job.spec.team] -= request_of(job.spec);
   job.attempts.erase(task);
   if (!job.ended()) job.claimed[task] = job.finished[task];
@@ -48,7 +48,7 @@
   JobRecord& job = *attempt.job;
   if (attempt.state == TaskState::running) --job.running;
   attempt.state = state;
-  attempt.machine->stale = true;
+  attempt.machine->view_stale = true;
   if (state != TaskState::running) return;
   ++job.running;
   if (attempt.running_since == 0) attempt.running_since = runtime_.now();
@@ -60,7 +60,7 @@
   if (attempt.stop) return;
   audit::stop(attempt.id(), attempt.machine->name, reason);
   attempt.stop = true;
-  attempt.machine->stale = true;
+  attempt.machine->view_stale = true;
   attempt.termination_grace_s = termination_grace_s;
   attempt.stop_since = runtime_.now();
 }
@@ -109,7 +109,7 @@
   // started since then may run until that lease expires, so the last command that may have been
   // executed counts like a heartbeat.
   const Ms now = runtime_.now();
-  if (now - std::max(machine.last_heartbeat_at, machine.last_command_ack_at) <=
+  if (now - std::max(machine.last_heartbeat_at, machine.last_command_at) <=
       times.since_last_contact)
     return false;
   const bool in_flight = std::any_of(machine.attempts.begin(), machine.attempts.end(),
--- a/src/leader/fleet/fleet.cc
+++ b/src/leader/fleet/fleet.cc
@@ -45,7 +45,7 @@
 
 void Fleet::apply_list(const wire::MachinePage& page) {
   for (const wire::ListedMachine& listed : page.machines) {
-    if (deleted(listed.name)) continue;  // the list is older than the deletion
+    if (is_deleted(listed.name)) continue;  // the list is older than the deletion
     Machine& machine = inventory_.register_listed(listed);
     if (listed.stage == wire::MachineStage::failed && !machine.deleting) remove(machine);
   }
--- a/src/leader/fleet/fleet.h
+++ b/src/leader/fleet/fleet.h
@@ -41,7 +41,9 @@
   Machine& ensure(const std::string& name) { return inventory_.ensure(name); }
   [[nodiscard]] MachineInventory::Map& machines() { return inventory_.machines(); }
   [[nodiscard]] const MachineInventory::Map& machines() const { return inventory_.machines(); }
-  [[nodiscard]] bool deleted(const std::string& name) const { return inventory_.deleted(name); }
+  [[nodiscard]] bool is_deleted(const std::string& name) const {
+    return inventory_.is_deleted(name);
+  }
   [[nodiscard]] bool is_overdue(const Machine& machine) const {
     return inventory_.is_overdue(machine);
   }
--- a/src/leader/fleet/machine.h
+++ b/src/leader/fleet/machine.h
@@ -44,7 +44,7 @@
   std::pair<std::uint64_t, std::uint64_t> last_heartbeat, last_unconfirmed_heartbeat;
   // The last time at which a start was sent, or a command was answered that the worker executed or
   // may have executed; -1 if there is none.
-  net::Ms last_command_ack_at = -1;
+  net::Ms last_command_at = -1;
   bool inspecting = false;  // an inspection request is in flight
   // When the cloud preempts this spot machine, once the cloud has announced it.
   std::optional<net::Ms> preemption_at;
@@ -67,7 +67,7 @@
   // The machine's slot in the scheduling snapshot, and whether the machine has changed since its
   // view was built.
   std::size_t slot = kNoSlot;
-  bool stale = true;
+  bool view_stale = true;
   static constexpr std::size_t kNoSlot = static_cast<std::size_t>(-1);
 
   // True if a start of this task, from any of its attempts, may still reach the worker late.
--- a/src/leader/fleet/machine_inventory.h
+++ b/src/leader/fleet/machine_inventory.h
@@ -43,7 +43,7 @@
 
   // True if the cloud has confirmed that the machine is deleted. Any message from or about such a
   // machine is out of date.
-  [[nodiscard]] bool deleted(const std::string& name) const { return deleted_.contains(name); }
+  [[nodiscard]] bool is_deleted(const std::string& name) const { return deleted_.contains(name); }
   void mark_deleted(const std::string& name) { deleted_.insert(name); }
   void erase(const std::string& name) { machines_.erase(name); }
 
--- a/src/leader/fleet/scale_out.cc
+++ b/src/leader/fleet/scale_out.cc
@@ -66,7 +66,7 @@
 void ScaleOut::on_answer(const wire::Rental& rental, cloud::Rented result,
                          const std::vector<std::string>& names) {
   for (const std::string& name : names)
-    if (!inventory_.deleted(name)) inventory_.register_rented(name, rental);
+    if (!inventory_.is_deleted(name)) inventory_.register_rented(name, rental);
   // If the rental got no answer, the cloud may still have rented machines. They appear in the
   // cloud's list and are then used, or returned as idle.
   if (result != cloud::Rented::ok || static_cast<int>(names.size()) < rental.count)
--- a/src/leader/scheduling/machine_views.cc
+++ b/src/leader/scheduling/machine_views.cc
@@ -12,9 +12,9 @@
     if (!type) continue;
     if (machine.slot == Machine::kNoSlot) assign_slot(machine, snapshot);
     sched::MachineView& view = snapshot.machines[machine.slot];
-    if (machine.stale) {
+    if (machine.view_stale) {
       update_view(view, machine, *type);
-      machine.stale = false;
+      machine.view_stale = false;
     }
     update_availability(view, machine, *type);
   }
@@ -29,7 +29,7 @@
     machine.slot = free_slots_.back();
     free_slots_.pop_back();
   }
-  machine.stale = true;
+  machine.view_stale = true;
 }
 
 void MachineViews::remove(const Machine& machine, sched::ClusterSnapshot& snapshot) {
--- a/src/leader/scheduling/snapshot_builder.cc
+++ b/src/leader/scheduling/snapshot_builder.cc
@@ -63,7 +63,7 @@
 }
 
 void SnapshotBuilder::invalidate(std::size_t slot) {
-  if (Machine* machine = machine_at(slot)) machine->stale = true;
+  if (Machine* machine = machine_at(slot)) machine->view_stale = true;
 }
 
 }  // namespace seampass::leader
--- a/src/leader/workers/command_dispatcher.cc
+++ b/src/leader/workers/command_dispatcher.cc
@@ -37,7 +37,7 @@
   // A worker that has just begun a new incarnation runs the tasks that it is commanded to start
   // until its own lease expires, whether or not its reply arrives. Sending a start therefore counts
   // as contact with the worker (AttemptTracker::lease_expired).
-  if (!start_ids.empty()) machine.last_command_ack_at = context_.runtime.now();
+  if (!start_ids.empty()) machine.last_command_at = context_.runtime.now();
   workers_.send(machine.addr, context_.election.epoch(), machine.incarnation, commands,
                 context_.term.callbacks().wrap(
                     [this, name = machine.name, start_ids](
@@ -58,7 +58,7 @@
     for (const AttemptId& id : start_ids) machine->replayable_starts.erase(id);
   const bool may_be_executed = outcome == workers::Sent::unknown && !start_ids.empty();
   if (outcome == workers::Sent::executed || may_be_executed)
-    machine->last_command_ack_at = context_.runtime.now();
+    machine->last_command_at = context_.runtime.now();
   if (outcome == workers::Sent::unknown || outcome == workers::Sent::not_sent) {
     on_unanswered(*machine);
   } else {
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -46,7 +46,8 @@
     election.step_down(audit::StepDownReason::worker_shows_higher_epoch);
     return service_unavailable();
   }
-  if (fleet_.deleted(heartbeat.machine)) return service_unavailable();  // can only be a late copy
+  if (fleet_.is_deleted(heartbeat.machine))
+    return service_unavailable();  // can only be a late copy
   Machine& machine = fleet_.ensure(heartbeat.machine);
   copy_description(machine, heartbeat);
   if (heartbeat.token < election.epoch()) return reply_to_unconfirmed(machine, heartbeat);
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -44,7 +44,7 @@
       continue;
     }
     if (task.state != TaskState::fetching && machine.images.insert(attempt->job->spec.image).second)
-      machine.stale = true;
+      machine.view_stale = true;
     parts_.tracker.set_state(*attempt, task.state);
   }
   const bool any_missing = AttemptTracker::mark_missing(machine, reported, source);
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -170,7 +170,7 @@
   attempt.in_flight = 1;
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
   attempt.in_flight = 0;
-  machine.last_command_ack_at = process.now();
+  machine.last_command_at = process.now();
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
 }
 
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -137,7 +137,7 @@
       const bool returned = after_lease ? returned_after_lease : returned_before_lease;
       EXPECT_EQ(deleted_count, returned ? static_cast<std::size_t>(timed_out_count) : 0U);
       EXPECT_EQ(inventory.machines().size(), 4 - deleted_count);
-      EXPECT_EQ(inventory.deleted("m0"), returned);
+      EXPECT_EQ(inventory.is_deleted("m0"), returned);
       EXPECT_EQ(zones.is_unreachable("a"), timed_out_count == 4);
     }
   }
