--- a/src/leader/attempts/absence_verifier.cc
+++ b/src/leader/attempts/absence_verifier.cc
@@ -46,14 +46,14 @@
   std::vector<AttemptId> exited;
   for (const AttemptId& id : candidates) {
     TaskAttempt* attempt = find_on(machine, id);
-    if (!attempt || !attempt->missing || attempt->in_flight > 0) continue;
+    if (!attempt || !attempt->missing || attempt->starts_in_flight > 0) continue;
     const auto found = present.find(id);
     if (found == present.end()) {
       absent.push_back(attempt);
       continue;
     }
     attempt->missing = false;
-    attempt->seen = true;
+    attempt->reported = true;
     if (found->second->state == TaskState::exited) exited.push_back(id);
   }
   attempts_.release_lost(absent, audit::AbsenceProof::inspected);
--- a/src/leader/attempts/attempt_launcher.cc
+++ b/src/leader/attempts/attempt_launcher.cc
@@ -55,7 +55,8 @@
 }
 
 bool AttemptLauncher::may_start(const TaskAttempt& attempt) const {
-  return !attempt.stop && !attempt.sent && attempt.job->active() && context_.election.holds();
+  return !attempt.stop_requested && !attempt.start_sent && attempt.job->active() &&
+         context_.election.holds();
 }
 
 // Starts these attempts, whose task records are durable now.
@@ -80,9 +81,9 @@
       unsent.push_back(attempt);
       continue;
     }
-    attempt->sent = true;
+    attempt->start_sent = true;
     attempt->start_sent_at = context_.runtime.now();
-    ++attempt->in_flight;
+    ++attempt->starts_in_flight;
     audit::start(attempt_id, machine.name, machine.incarnation, context_.election.epoch(),
                  audit::StartPath::command);
     append_start(machine, attempt_id, by_machine[&machine]);
--- a/src/leader/attempts/attempt_lifecycle.cc
+++ b/src/leader/attempts/attempt_lifecycle.cc
@@ -45,10 +45,10 @@
   std::vector<TaskAttempt*> sent;
   std::vector<TaskAttempt*> unsent;
   for (auto& [task, attempt] : job.attempts) {
-    if (attempt.stop && scope == StopScope::not_stopping_yet) continue;
+    if (attempt.stop_requested && scope == StopScope::not_stopping_yet) continue;
     tracker_.stop(attempt, termination_grace_s, reason);
     attempt.termination_grace_s = termination_grace_s;
-    (attempt.sent ? sent : unsent).push_back(&attempt);
+    (attempt.start_sent ? sent : unsent).push_back(&attempt);
   }
   commands_.send_stops(sent);
   // No start of these attempts was ever sent, so they are proven absent.
@@ -97,7 +97,7 @@
 }
 
 void AttemptLifecycle::on_task_exited(TaskAttempt& attempt, const wire::TaskStatus& status) {
-  audit::exited(attempt.id(), attempt.machine->name, status.cause, attempt.stop);
+  audit::exited(attempt.id(), attempt.machine->name, status.cause, attempt.stop_requested);
   audit::absent(attempt.id(), attempt.machine->name, audit::AbsenceProof::reported_ended);
   if (status.cause == ExitCause::done) return on_task_done(attempt);
   JobRecord& job = *attempt.job;
--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -57,12 +57,12 @@
 
 void AttemptTracker::stop(TaskAttempt& attempt, double termination_grace_s,
                           audit::StopReason reason) {
-  if (attempt.stop) return;
+  if (attempt.stop_requested) return;
   audit::stop(attempt.id(), attempt.machine->name, reason);
-  attempt.stop = true;
+  attempt.stop_requested = true;
   attempt.machine->view_stale = true;
   attempt.termination_grace_s = termination_grace_s;
-  attempt.stop_since = runtime_.now();
+  attempt.stop_requested_at = runtime_.now();
 }
 
 sched::Resources AttemptTracker::usage(const std::string& team) const {
@@ -76,7 +76,7 @@
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task)) continue;
     const bool incarnation_over = attempt->incarnation != machine.incarnation;
-    const bool disappeared = source == ReportSource::heartbeat && attempt->seen;
+    const bool disappeared = source == ReportSource::heartbeat && attempt->reported;
     attempt->missing = attempt->missing || incarnation_over || disappeared;
     any_missing = any_missing || attempt->missing;
   }
@@ -96,8 +96,8 @@
     // If no report has listed the attempt yet, its start may still be in flight in the reply to a
     // heartbeat. The worker discards a reply that is older than kMaxReplyAge.
     const bool no_start_in_reply =
-        attempt->seen || runtime_.now() - attempt->start_sent_at > kMaxReplyAge;
-    if (attempt->missing && attempt->in_flight == 0 && no_start_in_reply)
+        attempt->reported || runtime_.now() - attempt->start_sent_at > kMaxReplyAge;
+    if (attempt->missing && attempt->starts_in_flight == 0 && no_start_in_reply)
       ids.push_back(attempt->id());
   }
   return ids;
@@ -112,8 +112,9 @@
   if (now - std::max(machine.last_heartbeat_at, machine.last_command_at) <=
       times.since_last_contact)
     return false;
-  const bool in_flight = std::any_of(machine.attempts.begin(), machine.attempts.end(),
-                                     [](const auto& entry) { return entry.second->in_flight > 0; });
+  const bool in_flight =
+      std::any_of(machine.attempts.begin(), machine.attempts.end(),
+                  [](const auto& entry) { return entry.second->starts_in_flight > 0; });
   if (in_flight) return false;
   // Until a worker has shown this leader's epoch, the previous leader may have been the last to
   // renew the worker's lease, and this leader does not know when.
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -34,16 +34,16 @@
   Machine* machine = nullptr;
   std::uint64_t incarnation = 0;
   bool durable = false;  // the task record that contains the attempt is durable: it may be started
-  bool sent = false;     // a start may have reached the worker
-  bool seen = false;     // a report of the worker has listed the attempt
-  bool missing = false;  // a report did not list it; its absence is not proven yet
-  int in_flight = 0;     // starts sent to /commands whose outcome is not known yet
+  bool start_sent = false;   // a start may have reached the worker
+  bool reported = false;     // a report of the worker has listed the attempt
+  bool missing = false;      // a report did not list it; its absence is not proven yet
+  int starts_in_flight = 0;  // starts sent to /commands whose outcome is not known yet
   net::Ms start_sent_at = 0;
   wire::TaskState state = wire::TaskState::fetching;
   net::Ms running_since = 0;
-  bool stop = false;  // the attempt is to be stopped
+  bool stop_requested = false;  // the attempt is to be stopped
   double termination_grace_s = 0;
-  net::Ms stop_since = 0;
+  net::Ms stop_requested_at = 0;
 
   [[nodiscard]] AttemptId id() const;
 };
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -46,7 +46,7 @@
     JobRecord* job = parts_.jobs.find(id);
     if (!job) continue;
     if (job->ended()) {
-      for (auto& [task, attempt] : job->attempts) attempt.stop = true;
+      for (auto& [task, attempt] : job->attempts) attempt.stop_requested = true;
       parts_.job_lifecycle.erase_if_settled(id);
       continue;
     }
@@ -144,7 +144,7 @@
     TaskAttempt& attempt =
         parts_.attempt_tracker.add(job, assignment.task, assignment.attempt,
                                    parts_.fleet.ensure(assignment.machine), assignment.incarnation);
-    attempt.durable = attempt.sent = true;
+    attempt.durable = attempt.start_sent = true;
   }
 }
 
--- a/src/leader/scheduling/leader_upkeep.cc
+++ b/src/leader/scheduling/leader_upkeep.cc
@@ -43,7 +43,7 @@
 // time to save its progress before the cloud takes the machine.
 bool LeaderUpkeep::must_stop_now(const TaskAttempt& attempt, Ms preemption_at) const {
   const wire::Job& spec = attempt.job->spec;
-  if (attempt.stop || !attempt.sent || spec.checkpoint_s <= 0) return false;
+  if (attempt.stop_requested || !attempt.start_sent || spec.checkpoint_s <= 0) return false;
   const double margin =
       spec.save_s + sources_.settings.gang_peer_s + sources_.settings.heartbeat_interval_s;
   return sources_.runtime.now() + net::ms(margin) >= preemption_at;
--- a/src/leader/scheduling/views.cc
+++ b/src/leader/scheduling/views.cc
@@ -11,7 +11,7 @@
 // not being stopped already. Tasks of gangs are never preempted one by one.
 bool is_preemptible(const TaskAttempt& attempt) {
   return !attempt.job->gang() && attempt.job->spec.checkpoint_s > 0 &&
-         attempt.state == TaskState::running && !attempt.stop;
+         attempt.state == TaskState::running && !attempt.stop_requested;
 }
 
 sched::PreemptibleTask preemptible_task_of(const TaskAttempt& attempt) {
--- a/src/leader/workers/command_dispatcher.cc
+++ b/src/leader/workers/command_dispatcher.cc
@@ -50,7 +50,7 @@
                                  workers::Sent outcome,
                                  const std::optional<wire::Heartbeat>& report) {
   for (const AttemptId& id : start_ids)
-    if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->in_flight;
+    if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->starts_in_flight;
   Machine* machine = fleet_.find(name);
   if (!machine) return;
   // The commands were certainly not executed, and no late copy of them will be executed.
@@ -81,9 +81,9 @@
   if (!machine.unresponsive_since) machine.unresponsive_since = now;
   if (now - *machine.unresponsive_since < half_lease || machine.deleting) return;
   machine.draining = true;
-  const bool idle =
-      std::none_of(machine.attempts.begin(), machine.attempts.end(),
-                   [](const auto& entry) { return entry.second->seen && !entry.second->missing; });
+  const bool idle = std::none_of(
+      machine.attempts.begin(), machine.attempts.end(),
+      [](const auto& entry) { return entry.second->reported && !entry.second->missing; });
   if (idle) fleet_.remove(machine);
 }
 
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -125,7 +125,7 @@
       continue;
     }
     reported.insert(id.task_id());
-    if (attempt->stop) commands.push_back(stop_command(*attempt, now));
+    if (attempt->stop_requested) commands.push_back(stop_command(*attempt, now));
   }
   if (context_.election.holds()) append_starts(machine, reported, commands);
   return commands;
@@ -135,7 +135,7 @@
 // grace period is 0 once the attempt should have ended already.
 wire::Command HeartbeatHandler::stop_command(const TaskAttempt& attempt, Ms now) const {
   const Ms max_stop_time = net::ms(attempt.termination_grace_s + 2 * context_.settings.gang_peer_s);
-  const bool overdue = now - attempt.stop_since > max_stop_time;
+  const bool overdue = now - attempt.stop_requested_at > max_stop_time;
   return command_for(Verb::stop, attempt.id(), overdue ? 0 : attempt.termination_grace_s);
 }
 
@@ -145,20 +145,20 @@
 void HeartbeatHandler::append_starts(Machine& machine, const std::set<TaskId>& reported,
                                      std::vector<wire::Command>& commands) const {
   for (const auto& [task, attempt] : machine.attempts) {
-    if (reported.contains(task) || attempt->seen || !attempt->durable) continue;
-    if (attempt->in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
-    if (!attempt->job->active() && !attempt->stop) continue;
+    if (reported.contains(task) || attempt->reported || !attempt->durable) continue;
+    if (attempt->starts_in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
+    if (!attempt->job->active() && !attempt->stop_requested) continue;
     attempt->start_sent_at = context_.runtime.now();
     audit::start(attempt->id(), machine.name, machine.incarnation, context_.election.epoch(),
                  audit::StartPath::heartbeat);
     commands.push_back(command_for(Verb::start, attempt->id()));
-    if (attempt->stop) {
+    if (attempt->stop_requested) {
       // No report has listed this attempt yet, and its start may arrive at any time. The reply
       // therefore starts and stops the attempt in one message. The worker then knows the attempt
       // and ignores a late start, and its next heartbeat lists the attempt as exited.
       commands.push_back(command_for(Verb::stop, attempt->id()));
     } else {
-      attempt->sent = true;
+      attempt->start_sent = true;
     }
   }
 }
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -36,8 +36,8 @@
     if (!attempt && task.state != TaskState::exited) attempt = adopt(machine, id);
     if (!attempt) continue;
     reported.insert(id.task_id());
-    if (!attempt->seen) machine.unresponsive_since.reset();
-    attempt->seen = true;
+    if (!attempt->reported) machine.unresponsive_since.reset();
+    attempt->reported = true;
     attempt->missing = false;
     if (task.state == TaskState::exited) {
       exited.push_back(&task);
@@ -80,7 +80,7 @@
   }
   TaskAttempt& attempt =
       parts_.tracker.add(*job, id.task, id.attempt, machine, machine.incarnation);
-  attempt.durable = attempt.sent = true;
+  attempt.durable = attempt.start_sent = true;
   job->last_attempt = std::max(job->last_attempt, id.attempt);
   parts_.task_records.record_changed(id.job, id.task, Urgency::assignment);
   if (!job->active() || job->finished[id.task] || job->gang())
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -121,7 +121,7 @@
   Machine machine;
   machine.incarnation = 4;
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 4);
-  attempt.seen = true;
+  attempt.reported = true;
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {{"wk-1", 0}}, ReportSource::heartbeat));
   EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
@@ -148,7 +148,7 @@
   EXPECT_TRUE(tracker.to_inspect(machine).empty());
   time.run_for(1);
   EXPECT_EQ(tracker.to_inspect(machine), std::vector<AttemptId>{attempt.id()});
-  attempt.in_flight = 1;  // a start was sent to /commands
+  attempt.starts_in_flight = 1;  // a start was sent to /commands
   EXPECT_TRUE(tracker.to_inspect(machine).empty());
 }
 
@@ -167,9 +167,9 @@
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, false, times));
   time.run_for(20000);
   EXPECT_TRUE(tracker.lease_expired(machine, term_start, false, times));
-  attempt.in_flight = 1;
+  attempt.starts_in_flight = 1;
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
-  attempt.in_flight = 0;
+  attempt.starts_in_flight = 0;
   machine.last_command_at = process.now();
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
 }
--- a/tests/leader_parts_test.cc
+++ b/tests/leader_parts_test.cc
@@ -69,7 +69,7 @@
   Machine& machine(const std::string& name) { return fleet.ensure(name); }
   TaskAttempt& start(JobRecord& job, std::uint32_t task, const std::string& machine_name) {
     TaskAttempt& attempt = tracker.add(job, task, ++job.last_attempt, machine(machine_name), 1);
-    attempt.durable = attempt.sent = attempt.seen = true;
+    attempt.durable = attempt.start_sent = attempt.reported = true;
     return attempt;
   }
   void report_exit(TaskAttempt& attempt, ExitCause cause) {
@@ -133,10 +133,10 @@
 TEST_F(LeaderPartsTest, StopAllReleasesAttemptsWhoseStartWasNeverSent) {
   JobRecord& job = jobs.add(job_of("wk-1", wire::JobKind::array, 2));
   start(job, 0, "m-1");
-  start(job, 1, "m-1").sent = false;
+  start(job, 1, "m-1").start_sent = false;
   attempts.stop_all(job, 5, audit::StopReason::job_over);
   ASSERT_EQ(job.attempts.size(), 1u);
-  EXPECT_TRUE(job.attempts.at(0).stop);
+  EXPECT_TRUE(job.attempts.at(0).stop_requested);
   attempts.stop_all(job, 0, audit::StopReason::job_over);
   EXPECT_EQ(job.attempts.at(0).termination_grace_s, 5);
   attempts.stop_all(job, 0, audit::StopReason::job_over, StopScope::all);
@@ -149,7 +149,7 @@
   start(gang, 1, "m-2");
   attempts.release_lost({&lost}, audit::AbsenceProof::lease_expired);
   EXPECT_FALSE(gang.attempts.contains(0));
-  EXPECT_TRUE(gang.attempts.at(1).stop);
+  EXPECT_TRUE(gang.attempts.at(1).stop_requested);
   // The task had completed before the stop command arrived.
   report_exit(gang.attempts.at(1), ExitCause::done);
   EXPECT_TRUE(gang.all_finished());
@@ -175,7 +175,7 @@
   ASSERT_TRUE(job.attempts.contains(0));
   EXPECT_EQ(job.running, 1u);
   EXPECT_EQ(job.last_attempt, 3u);
-  EXPECT_FALSE(job.attempts.at(0).stop);
+  EXPECT_FALSE(job.attempts.at(0).stop_requested);
   EXPECT_EQ(machine("m-1").unknown_tasks, 1u);
   // A report that is not newer than the last one changes nothing.
   reconciler.reconcile(machine("m-1"), heartbeat_of(1, {}), ReportSource::heartbeat);
