--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -111,10 +111,10 @@
   const Urgency urgency = upstream_cancelled(job) ? Urgency::progress : Urgency::final_status;
   parts_.records.write_final_status(
       id, job.open_version, stage, job.finished_count, urgency,
-      [this, id](wire::Stage stored_stage) { on_ended(id, stored_stage); });
+      [this, id](wire::Stage stored_stage) { on_final_status_durable(id, stored_stage); });
 }
 
-void JobLifecycle::on_ended(const std::string& id, wire::Stage stage) {
+void JobLifecycle::on_final_status_durable(const std::string& id, wire::Stage stage) {
   JobRecord* job = parts_.jobs.find(id);
   if (!job) return;
   job->advance_to(Lifecycle::ended);
@@ -136,7 +136,7 @@
 void JobLifecycle::erase_if_settled(const std::string& id) {
   JobRecord* job = parts_.jobs.find(id);
   // An unreadable task record may contain attempts that are running.
-  if (!job || !job->attempts.empty() || job->unreadable) return;
+  if (!job || !job->attempts.empty() || job->has_unreadable_record) return;
   if (job->lifecycle() == Lifecycle::stopping) conclude(*job);
   if (!job->ended()) return;
   const auto erase = [this, id] {
--- a/src/leader/jobs/job_lifecycle.h
+++ b/src/leader/jobs/job_lifecycle.h
@@ -57,8 +57,10 @@
   // Starts to write the final status of a job whose tasks are all done. Has no effect if a final
   // status is being written already, or is durable.
   void conclude_if_complete(JobRecord& job);
-  // This stage is the job's final status in the state service, no matter which node wrote it.
-  void on_ended(const std::string& id, wire::Stage stage);
+  // Records that the state service holds `stage` as the job's final status, no matter which node
+  // wrote it. Then answers the waiting clients, stops the job's attempts and updates its
+  // dependents.
+  void on_final_status_durable(const std::string& id, wire::Stage stage);
   // Continues to end a job that has no attempts left. Writes the final status of a job that is
   // stopping. Erases a job whose final status is durable, once its task records are deleted.
   void erase_if_settled(const std::string& id);
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -88,7 +88,7 @@
   std::string reserved_zone;
   net::Ms zone_reserved_since = 0;
   // A durable task record of the job can't be read, so none of its tasks may be started.
-  bool unreadable = false;
+  bool has_unreadable_record = false;
   // The final stage of an ended job; `queued` if the job has not ended or its final stage is
   // unknown.
   wire::Stage stage = wire::Stage::queued;
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -85,13 +85,14 @@
 }
 
 RecordStore::Callbacks LeaderTerm::record_store_hooks() {
-  return {
-      .render = [this](const std::string& job,
-                       const RecordId& record) { return task_records_.render(job, record); },
-      .on_fenced = [this] { on_fenced(); },
-      .on_final_status_found = [this](const std::string& job,
-                                      wire::Stage stage) { job_lifecycle_.on_ended(job, stage); },
-      .on_value_too_large = [this] { cluster_version_.finalize(); }};
+  return {.render = [this](const std::string& job,
+                           const RecordId& record) { return task_records_.render(job, record); },
+          .on_fenced = [this] { on_fenced(); },
+          .on_final_status_found =
+              [this](const std::string& job, wire::Stage stage) {
+                job_lifecycle_.on_final_status_durable(job, stage);
+              },
+          .on_value_too_large = [this] { cluster_version_.finalize(); }};
 }
 
 DependencyTracker::Hooks LeaderTerm::dependency_hooks() {
--- a/src/leader/records/task_record_writer.cc
+++ b/src/leader/records/task_record_writer.cc
@@ -28,7 +28,7 @@
   while (const auto chunk = records_.chunk_in_use(job_id)) {
     // A callback that ran in the previous pass may have ended the job and removed it.
     const JobRecord* job = jobs_.find(job_id);
-    if (job == nullptr || job->unreadable) return;
+    if (job == nullptr || job->has_unreadable_record) return;
     const TaskRange range = layout_.range(*chunk, job->spec.tasks);
     std::vector<RecordId> segments;
     for (std::uint32_t task = range.first; task < range.end;
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -89,7 +89,7 @@
     // The record may contain attempts that are still running. Therefore the job is marked as
     // unreadable and is not treated as a job without attempts.
     audit::unreadable_task_record(item.key, id, error.what());
-    if (JobRecord* job = parts_.jobs.find(id)) job->unreadable = true;
+    if (JobRecord* job = parts_.jobs.find(id)) job->has_unreadable_record = true;
   }
 }
 
--- a/src/leader/scheduling/job_views.cc
+++ b/src/leader/scheduling/job_views.cc
@@ -60,7 +60,7 @@
 }
 
 JobViews::Extent JobViews::extent_of(const JobRecord& job) const {
-  if (!job.active() || job.unreadable || job.first_unclaimed_task == job.spec.tasks)
+  if (!job.active() || job.has_unreadable_record || job.first_unclaimed_task == job.spec.tasks)
     return Extent::none;
   // No task may start before every job that this job depends on is durably done (docs/safety.md,
   // "No task starts too early"). Until then the job also reserves no capacity, causes no scale-out
