--- a/src/leader/attempts/absence_verifier.cc
+++ b/src/leader/attempts/absence_verifier.cc
@@ -45,7 +45,7 @@
   std::vector<TaskAttempt*> absent;
   std::vector<AttemptId> exited;
   for (const AttemptId& id : candidates) {
-    TaskAttempt* attempt = find_on(machine, id);
+    TaskAttempt* attempt = find_attempt_on(machine, id);
     if (!attempt || !attempt->missing || attempt->starts_in_flight > 0) continue;
     const auto found = present.find(id);
     if (found == present.end()) {
@@ -58,7 +58,7 @@
   }
   attempts_.release_lost(absent, audit::AbsenceProof::inspected);
   for (const AttemptId& id : exited) {
-    TaskAttempt* attempt = find_on(machine, id);
+    TaskAttempt* attempt = find_attempt_on(machine, id);
     if (attempt) attempts_.on_task_exited(*attempt, *present.at(id));
   }
 }
--- a/src/leader/attempts/attempt_lifecycle.cc
+++ b/src/leader/attempts/attempt_lifecycle.cc
@@ -37,7 +37,7 @@
 // arrives.
 void AttemptLifecycle::stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason reason) {
   const double grace_s = attempt.job->spec.save_s + context_.settings.heartbeat_interval_s / 3;
-  tracker_.stop(attempt, grace_s, reason);
+  tracker_.mark_for_stop(attempt, grace_s, reason);
 }
 
 void AttemptLifecycle::stop_all(JobRecord& job, double termination_grace_s,
@@ -46,7 +46,7 @@
   std::vector<TaskAttempt*> unsent;
   for (auto& [task, attempt] : job.attempts) {
     if (attempt.stop_requested && scope == StopScope::not_stopping_yet) continue;
-    tracker_.stop(attempt, termination_grace_s, reason);
+    tracker_.mark_for_stop(attempt, termination_grace_s, reason);
     attempt.termination_grace_s = termination_grace_s;
     (attempt.start_sent ? sent : unsent).push_back(&attempt);
   }
--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -55,8 +55,8 @@
   if (job.running == job.spec.tasks) audit::all_running(job.spec.id);
 }
 
-void AttemptTracker::stop(TaskAttempt& attempt, double termination_grace_s,
-                          audit::StopReason reason) {
+void AttemptTracker::mark_for_stop(TaskAttempt& attempt, double termination_grace_s,
+                                   audit::StopReason reason) {
   if (attempt.stop_requested) return;
   audit::stop(attempt.id(), attempt.machine->name, reason);
   attempt.stop_requested = true;
@@ -121,7 +121,7 @@
   return epoch_confirmed || now - term_start > times.since_term_start;
 }
 
-TaskAttempt* find_on(const Machine& machine, const AttemptId& id) {
+TaskAttempt* find_attempt_on(const Machine& machine, const AttemptId& id) {
   const auto it = machine.attempts.find(id.task_id());
   if (it == machine.attempts.end() || it->second->number != id.attempt) return nullptr;
   return it->second;
--- a/src/leader/attempts/attempt_tracker.h
+++ b/src/leader/attempts/attempt_tracker.h
@@ -34,7 +34,7 @@
 
 // The message that carried a worker's report (wire::Heartbeat): a heartbeat, or the reply to a
 // command.
-enum class ReportSource { heartbeat, command_answer };
+enum class ReportSource { heartbeat, command_reply };
 
 class AttemptTracker {
  public:
@@ -51,7 +51,7 @@
 
   void set_state(TaskAttempt& attempt, wire::TaskState state);
   // Marks the attempt as to be stopped. Calls after the first have no effect.
-  void stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason reason);
+  void mark_for_stop(TaskAttempt& attempt, double termination_grace_s, audit::StopReason reason);
 
   [[nodiscard]] sched::Resources usage(const std::string& team) const;
 
@@ -75,6 +75,6 @@
 };
 
 // The attempt with this id on this machine; null if there is none.
-[[nodiscard]] TaskAttempt* find_on(const Machine& machine, const AttemptId& id);
+[[nodiscard]] TaskAttempt* find_attempt_on(const Machine& machine, const AttemptId& id);
 
 }  // namespace seampass::leader
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -29,7 +29,7 @@
                        state, election, fleet_, *this),
       command_dispatcher_(context_, workers_, fleet_, jobs_,
                           [this](Machine& machine, const wire::Heartbeat& report) {
-                            reconciler_.reconcile(machine, report, ReportSource::command_answer);
+                            reconciler_.reconcile(machine, report, ReportSource::command_reply);
                           }),
       attempt_lifecycle_(context_, jobs_, attempt_tracker_, task_records_, fleet_,
                          command_dispatcher_, attempt_hooks()),
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -111,7 +111,7 @@
   const Ms now = context_.runtime.now();
   for (const wire::TaskStatus& task : heartbeat.tasks) {
     const AttemptId id = id_of(task);
-    const TaskAttempt* attempt = find_on(machine, id);
+    const TaskAttempt* attempt = find_attempt_on(machine, id);
     if (task.state == TaskState::exited) {
       // The worker may forget the attempt only once the task record without it is durable.
       if (!attempt && task_records_.record_settled(id.job, id.task) && may_forget(machine, task)) {
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -32,7 +32,7 @@
   for (const wire::TaskStatus& task : report.tasks) {
     const AttemptId id = id_of(task);
     if (task.state == TaskState::exited) machine.exited.insert(id);
-    TaskAttempt* attempt = find_on(machine, id);
+    TaskAttempt* attempt = find_attempt_on(machine, id);
     if (!attempt && task.state != TaskState::exited) attempt = adopt(machine, id);
     if (!attempt) continue;
     reported.insert(id.task_id());
@@ -84,7 +84,7 @@
   job->last_attempt = std::max(job->last_attempt, id.attempt);
   parts_.task_records.record_changed(id.job, id.task, Urgency::assignment);
   if (!job->active() || job->finished[id.task] || job->gang())
-    parts_.tracker.stop(attempt, 0, audit::StopReason::not_wanted);
+    parts_.tracker.mark_for_stop(attempt, 0, audit::StopReason::not_wanted);
   return &attempt;
 }
 
@@ -95,7 +95,7 @@
   std::set<std::string> jobs;
   for (const wire::TaskStatus* task : exited) {
     jobs.insert(task->job);
-    TaskAttempt* attempt = find_on(machine, id_of(*task));
+    TaskAttempt* attempt = find_attempt_on(machine, id_of(*task));
     if (attempt) parts_.attempts.on_task_exited(*attempt, *task);
   }
   for (const std::string& id : jobs)
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -89,7 +89,7 @@
     EXPECT_EQ(jobs[j].running, static_cast<std::uint32_t>(running));
     for (const ReferenceAttempt& a : reference) {
       const AttemptId id{jobs[a.job].spec.id, a.task, a.number};
-      EXPECT_EQ(find_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
+      EXPECT_EQ(find_attempt_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
       EXPECT_TRUE(jobs[a.job].claimed[a.task]);
     }
     ASSERT_FALSE(::testing::Test::HasFailure()) << "step " << step;
@@ -100,8 +100,8 @@
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
   tracker.add(record, 0, 2, machine, 1);
-  EXPECT_EQ(find_on(machine, {"wk-1", 0, 1}), nullptr);
-  EXPECT_NE(find_on(machine, {"wk-1", 0, 2}), nullptr);
+  EXPECT_EQ(find_attempt_on(machine, {"wk-1", 0, 1}), nullptr);
+  EXPECT_NE(find_attempt_on(machine, {"wk-1", 0, 2}), nullptr);
 }
 
 TEST_F(AttemptTrackerTest, RemovingAnAttemptKeepsAFinishedTaskClaimed) {
@@ -122,7 +122,7 @@
   machine.incarnation = 4;
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 4);
   attempt.reported = true;
-  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
+  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_reply));
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {{"wk-1", 0}}, ReportSource::heartbeat));
   EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
 }
@@ -134,7 +134,7 @@
   tracker.add(record, 0, 1, machine, 4);
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
   machine.incarnation = 5;
-  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
+  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_reply));
 }
 
 TEST_F(AttemptTrackerTest, AnAttemptIsNotInspectedWhileItsStartMayBeInFlight) {
