--- a/src/leader/attempts/attempt_lifecycle.cc
+++ b/src/leader/attempts/attempt_lifecycle.cc
@@ -71,7 +71,7 @@
   tracker_.remove(attempt);
   task_records_.record_changed(id, task, Urgency::progress);
   hooks_.erase_if_settled(id);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // Releasing the last attempt of a job can end the job and erase its JobRecord. The second loop
--- a/src/leader/attempts/attempt_lifecycle.h
+++ b/src/leader/attempts/attempt_lifecycle.h
@@ -33,7 +33,7 @@
   struct Hooks {
     std::function<void(const std::string& job)> erase_if_settled;
     std::function<void(JobRecord& job)> conclude_if_complete;
-    std::function<void()> request_pass;
+    std::function<void()> request_scheduling_pass;
   };
 
   AttemptLifecycle(const LeaderContext& context, const JobTable& jobs, AttemptTracker& tracker,
--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -52,7 +52,7 @@
   if (!added.spec.dependencies.empty()) parts_.cluster.finalize();
   parts_.dependencies.add(added.spec);
   if (parts_.dependencies.graph().ready(id)) hooks_.record_arrival(added);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // ---- Dependencies ----
@@ -63,7 +63,7 @@
   job->ready_ms = context_.runtime.wall();
   audit::ready(id, last_dependency);
   hooks_.record_arrival(*job);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // A job whose dependencies are not all done has no attempts, so there is nothing to stop. It counts
@@ -128,7 +128,7 @@
   // could find a dependent running although it does not know that the dependency is done, or find a
   // dependent queued although the dependency is cancelled.
   parts_.dependencies.on_final_status(id, stage);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // A cancelled job ends once every attempt is proven absent. An ended job stays in the table until
--- a/src/leader/jobs/job_lifecycle.h
+++ b/src/leader/jobs/job_lifecycle.h
@@ -37,7 +37,7 @@
   struct Hooks {
     // The job is ready: its tasks may be scheduled from now on.
     std::function<void(const JobRecord& job)> record_arrival;
-    std::function<void()> request_pass;
+    std::function<void()> request_scheduling_pass;
   };
 
   JobLifecycle(const LeaderContext& context, const Parts& parts, Hooks hooks);
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -108,17 +108,17 @@
 AttemptLifecycle::Hooks LeaderTerm::attempt_hooks() {
   return {[this](const std::string& job) { job_lifecycle_.erase_if_settled(job); },
           [this](JobRecord& job) { job_lifecycle_.conclude_if_complete(job); },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 JobLifecycle::Hooks LeaderTerm::job_hooks() {
   return {[this](const JobRecord& job) { scheduling_loop_.record_arrival(job); },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 HeartbeatReconciler::Hooks LeaderTerm::reconciler_hooks() {
   return {[this](JobRecord& job) { job_lifecycle_.conclude_if_complete(job); },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 JobWatcher::Hooks LeaderTerm::watcher_hooks() {
@@ -133,7 +133,7 @@
             term_.complete_recovery();
             scheduling_loop_.allow_passes();
           },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 void LeaderTerm::on_machine_gone(Machine& machine) {
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -34,7 +34,7 @@
   log_recovery();
   parts_.dependencies.complete_listing();
   parts_.watcher.watch();
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // Completes the steps that the former leader left unfinished. Each step can erase jobs from the job
--- a/src/leader/recovery/recovery.h
+++ b/src/leader/recovery/recovery.h
@@ -44,7 +44,7 @@
     // Reports that all records are read. The state of the term is then complete, and scheduling
     // passes may be requested.
     std::function<void()> on_records_read;
-    std::function<void()> request_pass;
+    std::function<void()> request_scheduling_pass;
   };
 
   Recovery(const LeaderContext& context, state::Client& state, const Parts& parts, Hooks hooks);
--- a/src/leader/scheduling/scheduling_loop.cc
+++ b/src/leader/scheduling/scheduling_loop.cc
@@ -52,7 +52,7 @@
   headroom_.end_term();
 }
 
-void SchedulingLoop::request_pass() {
+void SchedulingLoop::request_scheduling_pass() {
   if (pass_requested_ || !recovered_) return;
   pass_requested_ = true;
   net::Runtime& runtime = sources_.runtime;
@@ -154,13 +154,13 @@
   upkeep_.release_expired();
   headroom_.trim_arrivals();
   LeaderUpkeep::Reservations reservations = upkeep_.expire_reservations();
-  if (reservations.any_expired) request_pass();
+  if (reservations.any_expired) request_scheduling_pass();
   std::set<std::string> reserved = std::move(reservations.machines);
   reserved.insert(autoscaler_.headroom_machines().begin(), autoscaler_.headroom_machines().end());
   upkeep_.drain_preempted();
   log_usage(fleet_.machines());
   fleet_.reclaim_unwanted(reserved);
-  request_pass();
+  request_scheduling_pass();
 }
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/scheduling_loop.h
+++ b/src/leader/scheduling/scheduling_loop.h
@@ -37,8 +37,8 @@
   void allow_passes() { recovered_ = true; }
   void end_term();
 
-  // Requests a pass, because something has changed that a pass could act on.
-  void request_pass();
+  // Requests a scheduling pass, because something has changed that a pass could act on.
+  void request_scheduling_pass();
   // Records that the job has become ready to be scheduled.
   void record_arrival(const JobRecord& job) { headroom_.record_arrival(job); }
   // Frees the snapshot slot of a machine that no longer exists, so that another machine can use it.
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -62,7 +62,7 @@
   if (!machine.registered) {  // the worker is alive and has received a message of this leader
     machine.registered = true;
     machine.idle_since = context_.runtime.now();
-    hooks_.request_pass();
+    hooks_.request_scheduling_pass();
   }
   machine.preemption_at.reset();
   if (report.notice_s) machine.preemption_at = context_.runtime.now() + net::ms(*report.notice_s);
--- a/src/leader/workers/heartbeat_reconciler.h
+++ b/src/leader/workers/heartbeat_reconciler.h
@@ -35,7 +35,7 @@
   };
   struct Hooks {
     std::function<void(JobRecord& job)> conclude_if_complete;
-    std::function<void()> request_pass;
+    std::function<void()> request_scheduling_pass;
   };
 
   HeartbeatReconciler(const LeaderContext& context, const Parts& parts, Hooks hooks);
