--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -84,7 +84,7 @@
   for (const config::Peer& peer : settings_.peers) {
     // The answer to any round states the peer's version; no round of the election has this number.
     const bool ask_version =
-        round == 0 && !cluster_.finalized() && !cluster_.knows_segments(peer.node);
+        round == 0 && !cluster_.finalized() && !cluster_.reads_segments(peer.node);
     peers_.send(peer.node, rpc::LeaderAnnouncement{election_.epoch(),
                                                    ask_version ? rpc::kVersionRound : round});
   }
--- a/src/leader/jobs/job_request_handler.cc
+++ b/src/leader/jobs/job_request_handler.cc
@@ -35,7 +35,7 @@
 // have read that status already. An answer from memory could contradict it, so the reply is empty
 // until the outcome is known (docs/safety.md, "A final status whose outcome is unknown").
 void JobRequestHandler::answer_poll(const JobRecord& job, const Reply& reply) const {
-  if (records_.outcome_unknown(job.spec.id) || !upstream_known(job.spec.id)) return reply({});
+  if (records_.final_status_unknown(job.spec.id) || !upstream_known(job.spec.id)) return reply({});
   reply(lifecycle_.status_of(job));
 }
 
@@ -82,10 +82,10 @@
   const sched::DependencyGraph& graph = dependencies_.graph();
   if (graph.ready(id)) return true;
   if (graph.undecided(id)) return false;
-  if (!records_.any_outcome_unknown()) return true;
+  if (!records_.any_final_status_unknown()) return true;
   const std::vector<std::string> upstream = graph.upstream(id);
   return std::none_of(upstream.begin(), upstream.end(), [this](const std::string& upstream_job) {
-    return records_.outcome_unknown(upstream_job);
+    return records_.final_status_unknown(upstream_job);
   });
 }
 
--- a/src/leader/records/cluster_version.h
+++ b/src/leader/records/cluster_version.h
@@ -44,7 +44,7 @@
   void record_peer_version(const std::string& node, rpc::PeerVersion version);
   // Returns true if the peer runs a version that reads segments. Such a peer may also be sent
   // messages that only this version and later ones understand.
-  [[nodiscard]] bool knows_segments(const std::string& node) const {
+  [[nodiscard]] bool reads_segments(const std::string& node) const {
     return upgraded_peers_.contains(node);
   }
 
--- a/src/leader/records/record_store.cc
+++ b/src/leader/records/record_store.cc
@@ -45,7 +45,7 @@
   scope_.renew();
   read_back_.cancel();
   jobs_.clear();
-  outcome_unknown_.clear();
+  final_status_unknown_.clear();
 }
 
 void RecordStore::add_existing(const std::string& job, const RecordId& id, state::Version version) {
@@ -96,7 +96,7 @@
 
 void RecordStore::forget(const std::string& job) {
   jobs_.erase(job);
-  outcome_unknown_.erase(job);
+  final_status_unknown_.erase(job);
 }
 
 // ---- Sending ----
@@ -161,8 +161,8 @@
   // A transaction with a final status is never withdrawn, because its outcome counts as unknown
   // from the time at which it is given to the client.
   const bool withdrawable = !batch.has_final_status;
-  SentBatch sent{std::move(batch), outcome_unknown_.contains(job)};
-  if (!withdrawable) outcome_unknown_.insert(job);
+  SentBatch sent{std::move(batch), final_status_unknown_.contains(job)};
+  if (!withdrawable) final_status_unknown_.insert(job);
   const auto ticket =
       state_.txn(std::move(txn), transmission.urgency,
                  scope_.wrap([this, job, sent = std::move(sent)](const state::TxnResult& result) {
@@ -192,7 +192,7 @@
 void RecordStore::on_batch_not_executed(const std::string& job, const SentBatch& sent,
                                         Outcome outcome) {
   jobs_.at(job).transmission.phase = Phase::idle;
-  if (!sent.outcome_unknown_before) outcome_unknown_.erase(job);
+  if (!sent.final_status_unknown_before) final_status_unknown_.erase(job);
   if (outcome == Outcome::refused) return schedule_flush(job, kRetryPause);
   spdlog::error("the state service rejected a transaction of job {} as invalid", job);
   schedule_flush(job, kInvalidRetryPause);
@@ -247,7 +247,7 @@
 std::function<void(wire::Stage)> RecordStore::mark_final_status_durable(const std::string& job) {
   JobWrites& writes = jobs_.at(job);
   writes.final_status_state = FinalStatusState::durable;
-  outcome_unknown_.erase(job);
+  final_status_unknown_.erase(job);
   return std::exchange(writes.final_status, {}).on_durable;
 }
 
@@ -267,7 +267,7 @@
   } catch (const wire::Malformed& error) {
     spdlog::error("unreadable record {}, so the outcome of job {} stays unknown: {}", item.key, job,
                   error.what());
-    outcome_unknown_.insert(job);
+    final_status_unknown_.insert(job);
     return Readable::no;
   }
   const std::function<void(wire::Stage)> waiter = mark_final_status_durable(job);
--- a/src/leader/records/record_store.h
+++ b/src/leader/records/record_store.h
@@ -76,10 +76,10 @@
 
   // Returns true if a final status of this job may be stored, or may still become stored, without
   // this leader having seen it yet.
-  [[nodiscard]] bool outcome_unknown(const std::string& job) const {
-    return outcome_unknown_.contains(job);
+  [[nodiscard]] bool final_status_unknown(const std::string& job) const {
+    return final_status_unknown_.contains(job);
   }
-  [[nodiscard]] bool any_outcome_unknown() const { return !outcome_unknown_.empty(); }
+  [[nodiscard]] bool any_final_status_unknown() const { return !final_status_unknown_.empty(); }
   // Returns true if the record has no write queued or in flight.
   [[nodiscard]] bool settled(const std::string& job, const RecordId& id) const {
     return writes_of(job).settled(id);
@@ -104,9 +104,9 @@
   // The description of a transaction in flight.
   struct SentBatch {
     WriteBatch batch;  // its `txn` was moved to the client
-    // The job was in `outcome_unknown_` before this transaction was sent. It then stays there if
-    // the transaction is not executed.
-    bool outcome_unknown_before = false;
+    // The job was in `final_status_unknown_` before this transaction was sent. It then stays there
+    // if the transaction is not executed.
+    bool final_status_unknown_before = false;
   };
 
   // Returns the state of the job, or an empty state if the store has none.
@@ -144,7 +144,7 @@
   std::optional<std::uint64_t> epoch_;  // empty between terms
   std::map<std::string, JobWrites> jobs_;
   // Jobs whose final status is in flight, has an unknown outcome or cannot be decoded.
-  std::set<std::string> outcome_unknown_;
+  std::set<std::string> final_status_unknown_;
   ReadBack read_back_;
   net::CallbackScope scope_;  // drops the callbacks of earlier terms
 };
