--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -90,7 +90,7 @@
 }
 
 void ApiHandler::handle_heartbeat(const std::string& body, const Answer& answer) {
-  election_.on_worker_heard();
+  election_.on_heartbeat_received();
   if (!election_.leading()) return answer({421, wire::redirect_answer(election_.leader()), 0});
   try {
     const wire::Heartbeat heartbeat = wire::heartbeat_from(body);
--- a/src/jobs/peer_message_handler.cc
+++ b/src/jobs/peer_message_handler.cc
@@ -61,7 +61,7 @@
   election_.on_leader_announced(from, announcement.epoch);
   if (announcement.round == 0) return;  // the sender requests no confirmation
   peers_.send(from, rpc::EpochConfirmation{announcement.round, election_.highest_known_epoch(),
-                                           election_.up()});
+                                           election_.uptime()});
 }
 
 void PeerMessageHandler::receive(const std::string& from,
--- a/src/leader/attempts/attempt_launcher.cc
+++ b/src/leader/attempts/attempt_launcher.cc
@@ -56,7 +56,7 @@
 
 bool AttemptLauncher::may_start(const TaskAttempt& attempt) const {
   return !attempt.stop_requested && !attempt.start_sent && attempt.job->active() &&
-         context_.election.holds();
+         context_.election.lease_valid();
 }
 
 // Starts these attempts, whose task records are durable now.
--- a/src/leader/election/election.cc
+++ b/src/leader/election/election.cc
@@ -54,12 +54,12 @@
   read_leader_record();
 }
 
-bool Election::holds() const {
+bool Election::lease_valid() const {
   return leading_ && runtime_.now() < granted_at_ + subtract_clock_drift(times_.ttl);
 }
 
-bool Election::may_answer() const {
-  return leading_ && (holds() || runtime_.now() < extension_.ends_at(granted_at_));
+bool Election::may_answer_heartbeats() const {
+  return leading_ && (lease_valid() || runtime_.now() < extension_.ends_at(granted_at_));
 }
 
 void Election::retry_later(void (Election::*action)()) {
--- a/src/leader/election/election.h
+++ b/src/leader/election/election.h
@@ -62,10 +62,10 @@
   [[nodiscard]] bool leading() const { return leading_; }
   // Whether the lease is certainly still valid. Its time to live is counted from when the last
   // successful renewal was sent, and is shortened by the possible clock drift.
-  [[nodiscard]] bool holds() const;
+  [[nodiscard]] bool lease_valid() const;
   // Whether heartbeats may be answered with status 200. The answer may start tasks only while
-  // holds() is true.
-  [[nodiscard]] bool may_answer() const;
+  // lease_valid() is true.
+  [[nodiscard]] bool may_answer_heartbeats() const;
   // The epoch (fencing token) of this node's current term, or of its last term if it does not lead.
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
   // The time since the last successful renewal of the lease was sent.
@@ -75,14 +75,14 @@
   // The highest epoch with which any node is known to have led.
   [[nodiscard]] std::uint64_t highest_known_epoch() const { return highest_known_epoch_; }
   // The uptime of this node.
-  [[nodiscard]] net::Ms up() const { return runtime_.now() - started_at_; }
+  [[nodiscard]] net::Ms uptime() const { return runtime_.now() - started_at_; }
 
   // Gives up leadership because no worker reaches this leader. Returns false and does nothing if
   // this node does not lead, or if it last resigned less than `between_resignations` ago: workers
   // may be unable to reach any node, and then resigning again would not help.
   bool resign();
   // Records that a worker's heartbeat has arrived at this node, whether this node leads or not.
-  void on_worker_heard() { last_heartbeat_at_ = runtime_.now(); }
+  void on_heartbeat_received() { last_heartbeat_at_ = runtime_.now(); }
   // Stops leading, because another node has become leader or may have. Does nothing if this node
   // does not lead.
   void step_down(audit::StepDownReason reason);
--- a/src/leader/scheduling/scheduling_loop.h
+++ b/src/leader/scheduling/scheduling_loop.h
@@ -45,7 +45,7 @@
   void forget_machine(const Machine& machine) { snapshot_.remove(machine); }
 
  private:
-  [[nodiscard]] bool may_schedule() const { return recovered_ && election_.holds(); }
+  [[nodiscard]] bool may_schedule() const { return recovered_ && election_.lease_valid(); }
 
   // Runs a pass. `lateness` is the time by which the pass starts later than it was due; it shows
   // how busy this process is.
--- a/src/leader/term_state.h
+++ b/src/leader/term_state.h
@@ -34,7 +34,7 @@
   [[nodiscard]] bool recovered() const { return recovered_; }
   // Whether recovery is complete and the lease is certainly still valid. Only then may this leader
   // answer users' requests and start tasks.
-  [[nodiscard]] bool ready() const { return recovered_ && election_.holds(); }
+  [[nodiscard]] bool ready() const { return recovered_ && election_.lease_valid(); }
   // When the term began.
   [[nodiscard]] net::Ms began() const { return began_; }
   [[nodiscard]] const net::CallbackScope& callbacks() const { return callbacks_; }
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -41,7 +41,7 @@
 
 HeartbeatReply HeartbeatHandler::handle(const wire::Heartbeat& heartbeat) {
   Election& election = context_.election;
-  if (!context_.term.active() || !election.may_answer()) return service_unavailable();
+  if (!context_.term.active() || !election.may_answer_heartbeats()) return service_unavailable();
   if (heartbeat.token > election.epoch()) {  // a newer leader has been elected
     election.step_down(audit::StepDownReason::worker_shows_higher_epoch);
     return service_unavailable();
@@ -127,7 +127,7 @@
     reported.insert(id.task_id());
     if (attempt->stop_requested) commands.push_back(stop_command(*attempt, now));
   }
-  if (context_.election.holds()) append_starts(machine, reported, commands);
+  if (context_.election.lease_valid()) append_starts(machine, reported, commands);
   return commands;
 }
 
--- a/tests/fakes/simulated_cluster.cc
+++ b/tests/fakes/simulated_cluster.cc
@@ -100,13 +100,13 @@
 
 std::string SimulatedCluster::leader() const {
   for (const auto& [name, node] : nodes_)
-    if (node && node->node.election().holds()) return name;
+    if (node && node->node.election().lease_valid()) return name;
   return "";
 }
 
 int SimulatedCluster::leader_count() const {
   return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), [](const auto& entry) {
-    return entry.second && entry.second->node.election().holds();
+    return entry.second && entry.second->node.election().lease_valid();
   }));
 }
 
--- a/tests/formats_answers_test.cc
+++ b/tests/formats_answers_test.cc
@@ -30,9 +30,10 @@
   // Starts the controller and waits until it leads and knows the machine types.
   void lead() {
     node.start();
-    for (int i = 0; i < 300 && !(node.election().holds() && ask("GET", "/up").status == 200); ++i)
+    for (int i = 0; i < 300 && !(node.election().lease_valid() && ask("GET", "/up").status == 200);
+         ++i)
       time.run_for(100);
-    ASSERT_TRUE(node.election().holds());
+    ASSERT_TRUE(node.election().lease_valid());
   }
   net::Response ask(const char* method, const std::string& path, const std::string& body = "") {
     std::optional<net::Response> response;
