--- a/src/leader/audit_log.cc
+++ b/src/leader/audit_log.cc
@@ -127,7 +127,7 @@
       "load reads={} writes={} refused={} unknown={} waiting_reads={} waiting_writes={} "
       "backlog_ms={} turn_ms={} since_grant_ms={}",
       load.store.reads, load.store.writes, load.store.refused, load.store.unknown,
-      load.waiting_reads, load.waiting_writes, load.backlog, load.lateness, load.since_grant);
+      load.waiting_reads, load.waiting_writes, load.backlog, load.tick_delay, load.since_grant);
 }
 
 void unreadable_job(const std::string& job, const std::string& error) {
--- a/src/leader/audit_log.h
+++ b/src/leader/audit_log.h
@@ -54,7 +54,7 @@
   std::size_t waiting_reads = 0, waiting_writes = 0;
   net::Ms backlog = 0;  // how long a write of the lowest urgency would now wait in the queue
   // Delay of the timer tick that logs this line. It shows how long one event loop iteration takes.
-  net::Ms lateness = 0;
+  net::Ms tick_delay = 0;
   net::Ms since_grant = 0;
 };
 void load(const Load& load);
--- a/src/leader/scheduling/scheduling_loop.cc
+++ b/src/leader/scheduling/scheduling_loop.cc
@@ -17,8 +17,8 @@
 // heartbeat interval after the previous pass. Requests in between are handled by one pass, which
 // needs fewer records and messages.
 constexpr double kMinPassPause = 0.04;
-// After a pass, no other pass starts for this many times the sum of the pass's duration and its
-// lateness. The controller handles its other work in this time.
+// After a pass, no other pass starts for this many times the sum of the pass's duration and the
+// delay of its start. The controller handles its other work in this time.
 constexpr Ms kPassCooldownFactor = 4;
 
 }  // namespace
@@ -63,18 +63,18 @@
   }));
 }
 
-void SchedulingLoop::run_pass(Ms lateness) {
+void SchedulingLoop::run_pass(Ms start_delay) {
   if (!may_schedule() || !sources_.catalog.known()) return;
   const Ms started_at = sources_.runtime.now();
   schedule(snapshot_.update());
-  // The pause scales with the duration and the lateness of the pass, so that an overloaded
-  // controller schedules less often but still handles heartbeats, lease renewals and answers in
-  // time. The tasks that a pass starts cause further work: without the pause, thousands of short
-  // tasks would end, be reported and be replaced, and nothing else would be done in time, not even
-  // the renewal of the leader's lease.
+  // The pause scales with the pass's duration and the delay of its start, so that an
+  // overloaded controller schedules less often but still handles heartbeats, lease renewals and
+  // answers in time. The tasks that a pass starts cause further work: without the pause, thousands
+  // of short tasks would end, be reported and be replaced, and nothing else would be done in time,
+  // not even the renewal of the leader's lease.
   const Ms finished_at = sources_.runtime.now();
   next_pass_at_ =
-      finished_at + std::max(kPassCooldownFactor * (finished_at - started_at + lateness),
+      finished_at + std::max(kPassCooldownFactor * (finished_at - started_at + start_delay),
                              net::ms(kMinPassPause * sources_.settings.heartbeat_interval_s));
 }
 
@@ -145,10 +145,10 @@
   net::Runtime& runtime = sources_.runtime;
   const Ms due = runtime.now() + net::ms(sources_.settings.heartbeat_interval_s / 3);
   runtime.after(due - runtime.now(), term_.wrap([this, due] {
-    tick_lateness_ = sources_.runtime.now() - due;
+    tick_delay_ = sources_.runtime.now() - due;
     tick();
   }));
-  load_log_.log_if_due(tick_lateness_);
+  load_log_.log_if_due(tick_delay_);
   if (!may_schedule()) return;
   if (isolation_.check() && election_.resign()) return;
   upkeep_.release_expired();
--- a/src/leader/scheduling/scheduling_loop.h
+++ b/src/leader/scheduling/scheduling_loop.h
@@ -47,9 +47,9 @@
  private:
   [[nodiscard]] bool may_schedule() const { return recovered_ && election_.lease_valid(); }
 
-  // Runs a pass. `lateness` is the time by which the pass starts later than it was due; it shows
-  // how busy this process is.
-  void run_pass(net::Ms lateness);
+  // Runs a pass. `start_delay` is the time by which the pass starts later than it was due; it
+  // shows how busy this process is.
+  void run_pass(net::Ms start_delay);
   void schedule(const std::vector<JobRecord*>& jobs);
   void replace_reservations(const std::vector<JobRecord*>& jobs, const sched::Decisions& decisions);
   void preempt(const sched::Decisions& decisions);
@@ -71,7 +71,7 @@
   bool recovered_ = false;
   bool pass_requested_ = false;
   net::Ms next_pass_at_ = 0;
-  net::Ms tick_lateness_ = 0;
+  net::Ms tick_delay_ = 0;
 };
 
 }  // namespace seampass::leader
--- a/src/leader/scheduling/usage_log.cc
+++ b/src/leader/scheduling/usage_log.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void LoadLog::log_if_due(net::Ms lateness) {
+void LoadLog::log_if_due(net::Ms tick_delay) {
   if (runtime_.now() < logged_at_ + net::ms(settings_.lease_s)) return;
   logged_at_ = runtime_.now();
   audit::Load load;
@@ -40,7 +40,7 @@
   load.waiting_reads = state_.waiting(state::RequestKind::read);
   load.waiting_writes = state_.waiting(state::RequestKind::write);
   load.backlog = state_.backlog(state::Urgency::progress);
-  load.lateness = lateness;
+  load.tick_delay = tick_delay;
   load.since_grant = election_.since_grant();
   audit::load(load);
 }
