--- a/src/jobs/job_admission.cc
+++ b/src/jobs/job_admission.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::jobs {
 
--- a/src/leader/attempts/attempt_tracker.h
+++ b/src/leader/attempts/attempt_tracker.h
@@ -17,7 +17,7 @@
 #include "leader/ids.h"
 #include "leader/jobs/job_record.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "wire/types.h"
 
 namespace seampass::leader {
--- a/src/leader/fleet/scale_out.h
+++ b/src/leader/fleet/scale_out.h
@@ -16,7 +16,7 @@
 #include "leader/fleet/zone_monitor.h"
 #include "net/callback_scope.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
--- a/src/leader/records/task_record.h
+++ b/src/leader/records/task_record.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "leader/records/record_layout.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "wire/codec.h"
 
 namespace seampass::leader {
--- a/src/leader/records/task_record_writer.cc
+++ b/src/leader/records/task_record_writer.cc
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "leader/records/task_record.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
--- a/src/leader/scheduling/autoscaler.h
+++ b/src/leader/scheduling/autoscaler.h
@@ -13,7 +13,7 @@
 #include "leader/scheduling/sources.h"
 #include "leader/scheduling/task_actions.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
--- a/src/leader/scheduling/headroom_estimator.h
+++ b/src/leader/scheduling/headroom_estimator.h
@@ -15,7 +15,7 @@
 #include "leader/jobs/job_record.h"
 #include "leader/scheduling/sources.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "wire/types.h"
 
 namespace seampass::leader {
--- a/src/leader/scheduling/job_views.cc
+++ b/src/leader/scheduling/job_views.cc
@@ -47,7 +47,7 @@
     view.pending = std::move(pending);
     view.priority = sources_.dependencies.effective_priority(id);
     view.wait_budget_s = deadlines_.wait_budget_s(*job);
-    view.urgent = deadlines_.has_start_objective(job->spec.job_class);
+    view.has_start_objective = deadlines_.has_start_objective(job->spec.job_class);
     view.within_guarantee = guaranteed.contains(job.get());
     view.fair_share_rank = view.within_guarantee ? 0 : 1;
     view.blocked = now < job->retry_at;
--- a/src/leader/scheduling/job_views.h
+++ b/src/leader/scheduling/job_views.h
@@ -13,7 +13,7 @@
 #include "leader/jobs/job_record.h"
 #include "leader/scheduling/sources.h"
 #include "leader/scheduling/start_deadline_estimator.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
--- a/src/leader/scheduling/machine_views.h
+++ b/src/leader/scheduling/machine_views.h
@@ -9,7 +9,7 @@
 #include "leader/fleet/fleet.h"
 #include "leader/scheduling/sources.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "wire/types.h"
 
 namespace seampass::leader {
--- a/src/leader/scheduling/scheduling_loop.h
+++ b/src/leader/scheduling/scheduling_loop.h
@@ -20,7 +20,7 @@
 #include "leader/scheduling/usage_log.h"
 #include "net/callback_scope.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "state/client.h"
 
 namespace seampass::leader {
--- a/src/leader/scheduling/snapshot_builder.h
+++ b/src/leader/scheduling/snapshot_builder.h
@@ -12,7 +12,7 @@
 #include "leader/scheduling/machine_views.h"
 #include "leader/scheduling/sources.h"
 #include "leader/scheduling/start_deadline_estimator.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
--- a/src/leader/scheduling/views.h
+++ b/src/leader/scheduling/views.h
@@ -6,7 +6,7 @@
 #include "leader/fleet/machine.h"
 #include "leader/fleet/scale_out.h"
 #include "leader/jobs/job_record.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "wire/types.h"
 
 namespace seampass::leader {
--- a/src/leader/scheduling/zone_reservations.h
+++ b/src/leader/scheduling/zone_reservations.h
@@ -9,7 +9,7 @@
 
 #include "leader/jobs/job_record.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
--- a/src/sched/autoscaler.cc
+++ b/src/sched/autoscaler.cc
@@ -93,7 +93,7 @@
 // includes the reserved tasks.
 std::uint32_t Autoscaler::missing_tasks(const JobView& job, const TeamView& team) {
   const auto unreserved = static_cast<std::uint32_t>(job.unreserved_tasks());
-  const std::uint32_t within_quota = std::min(unreserved, team.allows(job.request));
+  const std::uint32_t within_quota = std::min(unreserved, team.tasks_within_quota(job.request));
   return job.kind == wire::JobKind::gang && within_quota < unreserved ? 0 : within_quota;
 }
 
--- a/src/sched/cluster_snapshot.cc
+++ b/src/sched/cluster_snapshot.cc
@@ -5,7 +5,7 @@
 
 namespace seampass::sched {
 
-std::uint32_t TeamView::allows(const Resources& request) const {
+std::uint32_t TeamView::tasks_within_quota(const Resources& request) const {
   constexpr double slack = 1e-6;  // usage sums decimal fractions, which binary numbers round
   double tasks = wire::kMaxTasks;
   if (cpus_max && request.cpus > 0)
--- a/src/sched/cluster_snapshot.h
+++ b/src/sched/cluster_snapshot.h
@@ -84,7 +84,7 @@
   std::string image;
   // The job's class has an objective for its start. A machine that has the image in its cache is
   // then preferred to a cheaper one, and lower-priority tasks may be preempted for the job.
-  bool urgent = false;
+  bool has_start_objective = false;
   // The job fits into its team's guarantee together with the team's earlier unfinished jobs.
   bool within_guarantee = false;
   // How many seconds the job's start may wait for resources that are in use, before new machines
@@ -116,7 +116,7 @@
   double cpus = 0, gpus = 0;                 // usage by placed and reserved tasks
 
   // Returns how many more tasks with this request the limits allow.
-  [[nodiscard]] std::uint32_t allows(const Resources& request) const;
+  [[nodiscard]] std::uint32_t tasks_within_quota(const Resources& request) const;
 };
 
 enum class MachineChoice {
--- a/src/sched/pass.cc
+++ b/src/sched/pass.cc
@@ -31,7 +31,7 @@
         place_gang(index);
       else
         place_tasks(index);
-      if (!job.pending.empty() && job.urgent) preempt_for(index);
+      if (!job.pending.empty() && job.has_start_objective) preempt_for(index);
     }
     decisions_.machines_examined = pools_.machines_examined() + preemptor_.machines_examined();
     return std::move(decisions_);
--- a/src/sched/preemption.cc
+++ b/src/sched/preemption.cc
@@ -36,7 +36,7 @@
 // as a whole.
 std::optional<std::size_t> Preemptor::missing_tasks(const JobView& job) {
   const std::size_t missing = job.unreserved_tasks();
-  const std::size_t within_quota = snapshot_.teams[job.team].allows(job.request);
+  const std::size_t within_quota = snapshot_.teams[job.team].tasks_within_quota(job.request);
   if (!is_gang(job)) return std::min(missing, within_quota);
   if (missing > within_quota) return std::nullopt;
   return missing;
--- a/src/sched/preemption.h
+++ b/src/sched/preemption.h
@@ -1,7 +1,8 @@
-// Preemption: selects tasks of lower priority to stop in favor of an urgent job that did not fit on
-// any machine. It chooses the machines where the fewest tasks have to stop. A later pass starts the
-// job there in the usual way. Until then the machine is nominated for the job, and no other job may
-// use its free resources. The pass (pass.cc) calls it; there are no errors.
+// Preemption: selects tasks of lower priority to stop in favor of a job that has a start objective
+// and did not fit on any machine. It chooses the machines where the fewest tasks have to stop. A
+// later pass starts the job there in the usual way. Until then the machine is nominated for the
+// job, and no other job may use its free resources. The pass (pass.cc) calls it; there are no
+// errors.
 #pragma once
 
 #include <cstddef>
--- a/src/sched/score.h
+++ b/src/sched/score.h
@@ -40,7 +40,7 @@
   if (snapshot.choice == MachineChoice::first_fit) return result;
   const MachineView& view = snapshot.machines[machine];
   const bool fetches_image = !view.images.contains(job.image);
-  const bool starts_soon = job.urgent || job.within_guarantee;
+  const bool starts_soon = job.has_start_objective || job.within_guarantee;
   result.wastes_gpus = job.request.gpus == 0 && view.total.gpus > 0;
   result.fetch_delays_start = starts_soon && fetches_image;
   result.price = view.price;
--- a/src/sched/task_placer.cc
+++ b/src/sched/task_placer.cc
@@ -57,8 +57,8 @@
 std::vector<Placement> TaskPlacer::place(const JobView& job, const std::string* zone) {
   ZoneCounts tasks_by_zone = job.placed;
   std::vector<Placement> placements;
-  const std::size_t max_placements =
-      std::min<std::size_t>(job.pending.size(), snapshot_.teams[job.team].allows(job.request));
+  const std::size_t max_placements = std::min<std::size_t>(
+      job.pending.size(), snapshot_.teams[job.team].tasks_within_quota(job.request));
   if (max_placements == 0) return placements;
   for (const MachineScore& candidate : pools_.candidates(job, zone)) {
     const MachineView& machine = snapshot_.machines[candidate.machine];
--- a/tests/model/plain_scheduler.h
+++ b/tests/model/reference_scheduler.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::model {
 
--- a/tests/sched_builders.h
+++ b/tests/sched_builders.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::sched {
 
--- a/tests/sched_pass_test.cc
+++ b/tests/sched_pass_test.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <random>
 
-#include "model/plain_scheduler.h"
-#include "sched/snapshot.h"
+#include "model/reference_scheduler.h"
+#include "sched/sched.h"
 #include "sched_builders.h"
 
 namespace seampass::sched {
@@ -100,7 +100,7 @@
         ASSERT_TRUE(job.request.fits_in(free[placement.machine]));
         free[placement.machine] -= job.request;
         TeamView& team = teams[job.team];
-        ASSERT_GE(team.allows(job.request), 1u);
+        ASSERT_GE(team.tasks_within_quota(job.request), 1u);
         team.cpus += job.request.cpus;
         team.gpus += job.request.gpus;
         ++zones[machine.zone];
--- a/tests/sched_preemption_test.cc
+++ b/tests/sched_preemption_test.cc
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "sched_builders.h"
 
 namespace seampass::sched {
@@ -20,7 +20,7 @@
   snapshot.machines[1].preemptible_tasks.pop_back();
   snapshot.machines[1].free.cpus = 4;
   JobView job = pending_job("wk-1", wire::JobKind::gang, 1, {8, 0, 16});
-  job.urgent = true;
+  job.has_start_objective = true;
   snapshot.jobs = {job};
   ClusterSnapshot pass_input = snapshot;
   // Tasks of equal priority are not preempted.
--- a/tests/sched_scaling_test.cc
+++ b/tests/sched_scaling_test.cc
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "sched_builders.h"
 
 namespace seampass::sched {
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -162,7 +162,7 @@
     EXPECT_EQ(records[i]->spec.id, std::string(1, static_cast<char>('a' + i)));
     EXPECT_EQ(builder.snapshot().jobs[i].id, records[i]->spec.id);
     EXPECT_EQ(builder.snapshot().jobs[i].pending.size(), 256U);
-    EXPECT_TRUE(builder.snapshot().jobs[i].urgent);
+    EXPECT_TRUE(builder.snapshot().jobs[i].has_start_objective);
   }
 
   builder.remove(*fleet.find("m1"));
