--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -13,8 +13,8 @@
 
 struct JobLookup {
   Lookup lookup = Lookup::unavailable;
-  wire::JobStatus status;  // for an open job, only the id is set
-  state::Item open;        // the job's open record, if the job is open
+  wire::JobStatus status;   // for an open job, only the id is set
+  state::Item open_record;  // the job's open record, if the job is open
 };
 
 }  // namespace seampass::jobs
--- a/src/jobs/job_status_finder.cc
+++ b/src/jobs/job_status_finder.cc
@@ -32,8 +32,8 @@
 void JobStatusFinder::find(const std::string& job, Purpose purpose,
                            const JobReplyHandler& on_found) {
   if (const auto cached = status_reader_.final_status(job)) {
-    audit::answer(*cached, status_reader_.written(job) ? AnswerBasis::cache_written
-                                                       : AnswerBasis::cache_derived);
+    audit::answer(*cached, status_reader_.known_written(job) ? AnswerBasis::cache_written
+                                                             : AnswerBasis::cache_derived);
     return on_found(reply_of({Lookup::ended, *cached, {}}));
   }
   leader_.request_status(job, [this, job, purpose, on_found](const rpc::JobReply& reply) {
--- a/src/jobs/job_status_reader.cc
+++ b/src/jobs/job_status_reader.cc
@@ -37,7 +37,7 @@
 // The job may have ended since its open record was listed, so its final status is read first. A job
 // without one may be open, or may have ended after that read. Then both records are read, in the
 // order that can't miss an existing job (see StoredJobReader::read).
-void JobStatusReader::read_ended(const std::string& job, const Done& done) {
+void JobStatusReader::read_final_status_first(const std::string& job, const Done& done) {
   if (const auto cached = cache_.find(job)) return done({Lookup::ended, *cached, {}});
   reader_.read_final_status(job, [this, job, done](const StoredJob& stored) {
     if (std::holds_alternative<JobNotFound>(stored))
--- a/src/jobs/job_status_reader.h
+++ b/src/jobs/job_status_reader.h
@@ -31,8 +31,11 @@
   [[nodiscard]] std::optional<wire::JobStatus> final_status(const std::string& job) {
     return cache_.find(job);
   }
-  // Returns whether the job's final status is cached and known to be in the state service.
-  [[nodiscard]] bool written(const std::string& job) const { return cache_.known_written(job); }
+  // Returns whether the job's own final status is cached and known to be in the state service. A
+  // status that is derived from a cancelled dependency does not count.
+  [[nodiscard]] bool known_written(const std::string& job) const {
+    return cache_.known_written(job);
+  }
   // Adds a final status to the cache (see FinalStatusCache::remember).
   void remember(const wire::JobStatus& status, Source source) { cache_.remember(status, source); }
 
@@ -42,8 +45,9 @@
   // Reads a job for the work of the controllers, whose reads are always admitted and wait for their
   // turn.
   void read(const std::string& job, const Done& done);
-  // Reads a job that has probably ended; if it has, this takes a single request.
-  void read_ended(const std::string& job, const Done& done);
+  // Reads a job that has probably ended. Reads its final status first, so that a job that has ended
+  // takes a single request.
+  void read_final_status_first(const std::string& job, const Done& done);
 
  private:
   void read_open(const std::string& job, UpstreamWalk::Budget budget, const Done& done);
--- a/src/jobs/upstream_walk.cc
+++ b/src/jobs/upstream_walk.cc
@@ -23,7 +23,7 @@
     : context_(context), budget_(budget), done_(std::move(done)) {
   result_.status.id = job;
   enqueue_unseen(open_job.dependencies);
-  result_.open = std::move(open_job.record);
+  result_.open_record = std::move(open_job.record);
 }
 
 void UpstreamWalk::enqueue_unseen(const std::vector<std::string>& jobs) {
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -55,21 +55,22 @@
 // Reads the job's status, and repeats the read until the state service returns one. The job counts
 // as neither done nor cancelled until then, so that the jobs that depend on it wait.
 void DependencyTracker::read(const std::string& job) {
-  status_reader_.read_ended(job, callbacks_.wrap([this, job](const jobs::JobLookup& result) {
-    if (result.lookup == Lookup::ended) {
-      pending_reads_.erase(job);
-      return on_final_status(job, result.status.stage);
-    }
-    if (result.lookup == Lookup::open) {
-      pending_reads_.erase(job);
-      return hooks_.found_open(job, result.open);
-    }
-    if (result.lookup == Lookup::not_found) audit::unknown_dependency(job);
-    runtime_.after(retry_interval_, callbacks_.wrap([this, job] {
-      if (graph_.unknown().contains(job)) return read(job);
-      pending_reads_.erase(job);
-    }));
-  }));
+  status_reader_.read_final_status_first(
+      job, callbacks_.wrap([this, job](const jobs::JobLookup& result) {
+        if (result.lookup == Lookup::ended) {
+          pending_reads_.erase(job);
+          return on_final_status(job, result.status.stage);
+        }
+        if (result.lookup == Lookup::open) {
+          pending_reads_.erase(job);
+          return hooks_.found_open(job, result.open_record);
+        }
+        if (result.lookup == Lookup::not_found) audit::unknown_dependency(job);
+        runtime_.after(retry_interval_, callbacks_.wrap([this, job] {
+          if (graph_.unknown().contains(job)) return read(job);
+          pending_reads_.erase(job);
+        }));
+      }));
 }
 
 }  // namespace seampass::leader
--- a/src/leader/jobs/dependency_tracker.h
+++ b/src/leader/jobs/dependency_tracker.h
@@ -27,7 +27,7 @@
     // A direct or indirect dependency of the job is cancelled, and its final status is durable.
     std::function<void(const std::string& job)> cancelled;
     // A read found that the job is open. The leader had not received its acceptance.
-    std::function<void(const std::string& job, const state::Item& open)> found_open;
+    std::function<void(const std::string& job, const state::Item& open_record)> found_open;
   };
 
   DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader,
--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -30,7 +30,7 @@
   // ends/<id> and so finds the final status. The check asks for a written status, since a job that
   // depends on a cancelled job may be in the cache as cancelled before its own final status is
   // written.
-  if (parts_.status_reader.written(id)) return;
+  if (parts_.status_reader.known_written(id)) return;
   JobRecord job;
   try {
     OpenRecord open = decode_open_record(record);
--- a/src/leader/jobs/job_request_handler.cc
+++ b/src/leader/jobs/job_request_handler.cc
@@ -61,7 +61,7 @@
       return reply({});
     if (result.lookup == Lookup::open) {
       // The job was accepted, and this leader has not received the message about it yet.
-      lifecycle_.apply_open_record(id, result.open.value, result.open.version);
+      lifecycle_.apply_open_record(id, result.open_record.value, result.open_record.version);
       if (!jobs_.contains(id)) return reply({});
       return handle(id, kind, reply);
     }
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -100,8 +100,8 @@
             job_lifecycle_.on_ready(job, last_dependency);
           },
           [this](const std::string& job) { job_lifecycle_.cancel_dependent(job); },
-          [this](const std::string& job, const state::Item& open) {
-            job_lifecycle_.apply_open_record(job, open.value, open.version);
+          [this](const std::string& job, const state::Item& open_record) {
+            job_lifecycle_.apply_open_record(job, open_record.value, open_record.version);
           }};
 }
 
