--- a/src/leader/scheduling/usage_log.cc
+++ b/src/leader/scheduling/usage_log.cc
@@ -15,11 +15,11 @@
 namespace {
 
 struct UsageCounts {
-  int registered = 0, booting = 0, idle = 0, closed_to_new_tasks = 0, starting = 0, waiting = 0,
-      running = 0;
+  int registered = 0, not_registered = 0, idle = 0, closed_to_new_tasks = 0, starting = 0,
+      waiting = 0, running = 0;
 
   void add(const Machine& machine) {
-    ++(machine.registered ? registered : booting);
+    ++(machine.registered ? registered : not_registered);
     if (!machine.registered) return;
     if (machine.attempts.empty()) ++idle;
     if (machine.draining || machine.deleting || machine.preemption_at) ++closed_to_new_tasks;
@@ -51,9 +51,9 @@
   for (const auto& [name, machine] : machines) by_type[machine.type].add(machine);
   for (const auto& [type, counts] : by_type)
     spdlog::debug(
-        "machines of type {}: {} registered, {} booting, {} idle, {} closed to new tasks; "
+        "machines of type {}: {} registered, {} not registered, {} idle, {} closed to new tasks; "
         "tasks: {} starting, {} waiting, {} running",
-        type, counts.registered, counts.booting, counts.idle, counts.closed_to_new_tasks,
+        type, counts.registered, counts.not_registered, counts.idle, counts.closed_to_new_tasks,
         counts.starting, counts.waiting, counts.running);
 }
 
