--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -46,13 +46,13 @@
 void AttemptTracker::set_state(TaskAttempt& attempt, TaskState state) {
   if (attempt.state == state) return;
   JobRecord& job = *attempt.job;
-  if (attempt.state == TaskState::running) --job.running;
+  if (attempt.state == TaskState::running) --job.running_attempts;
   attempt.state = state;
   attempt.machine->view_stale = true;
   if (state != TaskState::running) return;
-  ++job.running;
+  ++job.running_attempts;
   if (attempt.running_since == 0) attempt.running_since = runtime_.now();
-  if (job.running == job.spec.tasks) audit::all_running(job.spec.id);
+  if (job.running_attempts == job.spec.tasks) audit::all_running(job.spec.id);
 }
 
 void AttemptTracker::mark_for_stop(TaskAttempt& attempt, double termination_grace_s,
--- a/src/leader/fleet/fleet.cc
+++ b/src/leader/fleet/fleet.cc
@@ -47,7 +47,7 @@
   for (const wire::ListedMachine& listed : page.machines) {
     if (is_deleted(listed.name)) continue;  // the list is older than the deletion
     Machine& machine = inventory_.register_listed(listed);
-    if (listed.stage == wire::MachineStage::failed && !machine.deleting) remove(machine);
+    if (listed.stage == wire::MachineStage::failed && !machine.deleting) request_deletion(machine);
   }
 }
 
--- a/src/leader/fleet/fleet.h
+++ b/src/leader/fleet/fleet.h
@@ -49,7 +49,7 @@
   }
 
   // Returns machines to the cloud: see MachineReclaimer.
-  void remove(Machine& machine) { reclaimer_.remove(machine); }
+  void request_deletion(Machine& machine) { reclaimer_.request_deletion(machine); }
   void reclaim_unwanted(const std::set<std::string>& reserved) {
     reclaimer_.reclaim_unwanted(reserved);
   }
--- a/src/leader/fleet/machine.h
+++ b/src/leader/fleet/machine.h
@@ -36,9 +36,9 @@
   // The time of the first unanswered command since the last answered one; empty if the last command
   // was answered.
   std::optional<net::Ms> unresponsive_since;
-  // From the worker's latest report: its incarnation, its sequence number within that incarnation
-  // and the epoch (fencing token) that it showed.
-  std::uint64_t incarnation = 0, sequence = 0, token = 0;
+  // From the worker's latest report: the worker's incarnation, the report's sequence number within
+  // that incarnation and the epoch (fencing token) that the report showed.
+  std::uint64_t incarnation = 0, sequence = 0, shown_epoch = 0;
   // Incarnation and sequence number of the latest heartbeat that showed this leader's epoch, and of
   // the latest heartbeat that did not.
   std::pair<std::uint64_t, std::uint64_t> last_heartbeat, last_unconfirmed_heartbeat;
--- a/src/leader/fleet/machine_reclaimer.cc
+++ b/src/leader/fleet/machine_reclaimer.cc
@@ -36,7 +36,7 @@
   deletion_in_flight_ = false;
 }
 
-void MachineReclaimer::remove(Machine& machine) {
+void MachineReclaimer::request_deletion(Machine& machine) {
   mark_for_removal(machine);
   flush_removals();
 }
--- a/src/leader/fleet/machine_reclaimer.h
+++ b/src/leader/fleet/machine_reclaimer.h
@@ -30,7 +30,7 @@
 
   // Requests the deletion of the machine from the cloud. `on_machine_deleted` is called once the
   // cloud has confirmed it.
-  void remove(Machine& machine);
+  void request_deletion(Machine& machine);
   // Returns all machines that are idle, lost or failed to start. A machine named in `reserved` is
   // not returned for being idle, but it is returned if it is lost or failed to start.
   void reclaim_unwanted(const std::set<std::string>& reserved);
--- a/src/leader/jobs/dependency_tracker.cc
+++ b/src/leader/jobs/dependency_tracker.cc
@@ -41,9 +41,9 @@
                               const sched::DependencyGraph::Effects& effects) const {
   const net::CallbackScope::Period term = callbacks_.period();
   for (const std::string& job : effects.ready)
-    if (term.current()) hooks_.ready(job, cause);
+    if (term.current()) hooks_.on_ready(job, cause);
   for (const std::string& job : effects.cancelled)
-    if (term.current()) hooks_.cancelled(job);
+    if (term.current()) hooks_.on_cancelled(job);
 }
 
 void DependencyTracker::read_unknown() {
@@ -63,7 +63,7 @@
         }
         if (result.lookup == Lookup::open) {
           pending_reads_.erase(job);
-          return hooks_.found_open(job, result.open_record);
+          return hooks_.on_found_open(job, result.open_record);
         }
         if (result.lookup == Lookup::not_found) audit::unknown_dependency(job);
         runtime_.after(retry_interval_, callbacks_.wrap([this, job] {
--- a/src/leader/jobs/dependency_tracker.h
+++ b/src/leader/jobs/dependency_tracker.h
@@ -23,11 +23,11 @@
  public:
   struct Hooks {
     // All dependencies of the job are done; `last_dependency` is the one that was done last.
-    std::function<void(const std::string& job, const std::string& last_dependency)> ready;
+    std::function<void(const std::string& job, const std::string& last_dependency)> on_ready;
     // A direct or indirect dependency of the job is cancelled, and its final status is durable.
-    std::function<void(const std::string& job)> cancelled;
+    std::function<void(const std::string& job)> on_cancelled;
     // A read found that the job is open. The leader had not received its acceptance.
-    std::function<void(const std::string& job, const state::Item& open_record)> found_open;
+    std::function<void(const std::string& job, const state::Item& open_record)> on_found_open;
   };
 
   DependencyTracker(net::Runtime& runtime, jobs::JobStatusReader& status_reader,
--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -98,7 +98,7 @@
 }
 
 void JobLifecycle::conclude_if_complete(JobRecord& job) {
-  if (!job.final_status_written() && job.all_finished()) conclude(job);
+  if (!job.final_status_decided() && job.all_finished()) conclude(job);
 }
 
 void JobLifecycle::conclude(JobRecord& job) {
@@ -140,7 +140,7 @@
   if (job->lifecycle() == Lifecycle::stopping) conclude(*job);
   if (!job->ended()) return;
   const auto erase = [this, id] {
-    if (!parts_.jobs.contains(id) || !parts_.records.settled(id)) return;
+    if (!parts_.jobs.contains(id) || !parts_.records.no_task_records_left(id)) return;
     parts_.records.forget(id);
     parts_.jobs.erase(id);
   };
@@ -156,11 +156,11 @@
   reply.lookup = rpc::Lookup::found;
   reply.status.id = job.spec.id;
   reply.status.done = job.finished_count;
-  reply.status.running = job.ended() ? 0 : job.running;
-  reply.status.stage = job.ended()               ? job.stage
-                       : upstream_cancelled(job) ? wire::Stage::cancelled
-                       : job.running > 0         ? wire::Stage::running
-                                                 : wire::Stage::queued;
+  reply.status.running = job.ended() ? 0 : job.running_attempts;
+  reply.status.stage = job.ended()                ? job.stage
+                       : upstream_cancelled(job)  ? wire::Stage::cancelled
+                       : job.running_attempts > 0 ? wire::Stage::running
+                                                  : wire::Stage::queued;
   return reply;
 }
 
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -72,7 +72,7 @@
   std::uint32_t finished_count = 0;
   std::uint32_t first_unclaimed_task = 0;         // all tasks below this index are claimed
   std::map<std::uint32_t, TaskAttempt> attempts;  // by task
-  std::uint32_t running = 0;                      // attempts in TaskState::running
+  std::uint32_t running_attempts = 0;             // attempts in TaskState::running
   net::Ms retry_at = 0;                           // no task is started before this time
   int failures = 0;                               // attempts that failed since a task was last done
   std::set<std::string> failed_on;                // machines on which they failed
@@ -102,8 +102,9 @@
 
   // True if tasks of the job may be started.
   [[nodiscard]] bool active() const { return lifecycle_ == Lifecycle::active; }
-  // True if the final status was passed to the RecordStore, or was found in the state service.
-  [[nodiscard]] bool final_status_written() const {
+  // True if the final status was passed to the RecordStore, or was found in the state service. It
+  // may not be durable yet.
+  [[nodiscard]] bool final_status_decided() const {
     return lifecycle_ >= Lifecycle::writing_final_status;
   }
   [[nodiscard]] bool ended() const { return lifecycle_ == Lifecycle::ended; }
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -67,7 +67,7 @@
       epoch, {.on_loaded = [this] { job_watcher_.list(); },
               .on_finalized = [this] { task_records_.use_segments(cluster_version_.spans()); },
               .on_fenced = [this] { on_fenced(); }});
-  scheduling_loop_.start_term(term_.began());
+  scheduling_loop_.start_term(term_.began_at());
 }
 
 void LeaderTerm::end_term() {
--- a/src/leader/records/job_writes.cc
+++ b/src/leader/records/job_writes.cc
@@ -25,7 +25,7 @@
   return record == records.end() || record->second.settled();
 }
 
-bool JobWrites::settled() const {
+bool JobWrites::no_task_records_left() const {
   if (!transmission.idle() || final_status_pending()) return false;
   return std::none_of(records.begin(), records.end(),
                       [](const auto& entry) { return entry.second.exists(); });
--- a/src/leader/records/job_writes.h
+++ b/src/leader/records/job_writes.h
@@ -85,9 +85,9 @@
   }
   // Returns true if the record has no write queued or in flight.
   [[nodiscard]] bool settled(const RecordId& id) const;
-  // Returns true if no record of the job is stored, nothing of the job is queued and no transaction
-  // of it is in flight.
-  [[nodiscard]] bool settled() const;
+  // Returns true if no task record of the job is stored, no write of the job is queued and no
+  // transaction of it is in flight.
+  [[nodiscard]] bool no_task_records_left() const;
   // Returns the records that are stored, may be stored or have a pending write.
   [[nodiscard]] std::vector<RecordId> existing_records() const;
   // Returns the first chunk that is stored, may be stored or has a pending write, and that is not
--- a/src/leader/records/record_store.h
+++ b/src/leader/records/record_store.h
@@ -84,9 +84,11 @@
   [[nodiscard]] bool settled(const std::string& job, const RecordId& id) const {
     return writes_of(job).settled(id);
   }
-  // Returns true if no record of the job is stored, nothing of the job is queued and no transaction
-  // of it is in flight.
-  [[nodiscard]] bool settled(const std::string& job) const { return writes_of(job).settled(); }
+  // Returns true if no task record of the job is stored, no write of the job is queued and no
+  // transaction of it is in flight.
+  [[nodiscard]] bool no_task_records_left(const std::string& job) const {
+    return writes_of(job).no_task_records_left();
+  }
   // Returns the records that are stored, may be stored or have a pending write.
   [[nodiscard]] std::vector<RecordId> records(const std::string& job) const {
     return writes_of(job).existing_records();
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -68,7 +68,7 @@
   }
   audit::recovery_ended(context_.election.epoch(), parts_.watcher.first_listing_revision(),
                         parts_.jobs.size() - ended_jobs, ended_jobs, attempts,
-                        context_.runtime.now() - context_.term.began());
+                        context_.runtime.now() - context_.term.began_at());
 }
 
 // Decodes one task record and collects it until all records of its job are read. Records arrive in
--- a/src/leader/recovery/recovery.h
+++ b/src/leader/recovery/recovery.h
@@ -4,7 +4,7 @@
 // Recovery owns the records of one job at a time, until all records of that job are read.
 // LeaderTerm calls it on the loop's thread, between the start and the end of a term, after
 // JobWatcher has listed the open jobs. A failed request is retried. A record that can't be decoded
-// is logged, and its job, if the job is still open, is marked as unreadable.
+// is logged, and its job, if the job is still open, is marked as having an unreadable record.
 #pragma once
 
 #include <functional>
--- a/src/leader/scheduling/job_views.cc
+++ b/src/leader/scheduling/job_views.cc
@@ -68,7 +68,7 @@
   if (!sources_.dependencies.ready(job.spec.id)) return Extent::none;
   // A gang's next attempt starts only after all attempts of the previous one have been removed.
   if (job.gang()) return job.attempts.empty() ? Extent::full : Extent::none;
-  if (!job.fails_everywhere() || job.running != 0) return Extent::full;
+  if (!job.fails_everywhere() || job.running_attempts != 0) return Extent::full;
   // A job that failed on more than one machine gets capacity for a single task, which shows whether
   // the job still fails.
   return job.attempts.empty() ? Extent::probe : Extent::none;
--- a/src/leader/scheduling/leader_upkeep.cc
+++ b/src/leader/scheduling/leader_upkeep.cc
@@ -15,7 +15,8 @@
   std::vector<Machine*> expired;
   for (auto& [name, machine] : fleet_.machines()) {
     if (machine.attempts.empty()) continue;
-    const bool confirmed = machine.last_heartbeat_at >= 0 && machine.token >= election_.epoch();
+    const bool confirmed =
+        machine.last_heartbeat_at >= 0 && machine.shown_epoch >= election_.epoch();
     if (sources_.attempts.lease_expired(machine, term_started_at_, confirmed, times))
       expired.push_back(&machine);
   }
--- a/src/leader/scheduling/scheduling_loop.h
+++ b/src/leader/scheduling/scheduling_loop.h
@@ -47,8 +47,8 @@
  private:
   [[nodiscard]] bool may_schedule() const { return recovered_ && election_.lease_valid(); }
 
-  // Runs a pass. `start_delay` is the time by which the pass starts later than it was due; it
-  // shows how busy this process is.
+  // Runs a pass. `start_delay` is the time by which the pass starts later than it was due; it shows
+  // how busy this process is.
   void run_pass(net::Ms start_delay);
   void schedule(const std::vector<JobRecord*>& jobs);
   void replace_reservations(const std::vector<JobRecord*>& jobs, const sched::Decisions& decisions);
--- a/src/leader/scheduling/usage_log.h
+++ b/src/leader/scheduling/usage_log.h
@@ -18,8 +18,8 @@
       : runtime_(runtime), settings_(settings), state_(state), election_(election) {}
 
   void start_term(net::Ms started_at) { logged_at_ = started_at; }
-  // Logs the load at most once per worker lease. `tick_delay` is the time by which the
-  // calling tick runs later than it was due.
+  // Logs the load at most once per worker lease. `tick_delay` is the time by which the calling
+  // tick runs later than it was due.
   void log_if_due(net::Ms tick_delay);
 
  private:
--- a/src/leader/term_state.h
+++ b/src/leader/term_state.h
@@ -19,7 +19,7 @@
 
   void begin(net::Ms now) {
     active_ = true;
-    began_ = now;
+    began_at_ = now;
   }
   void complete_recovery() { recovered_ = true; }
   // Ends the term. No callback of the term runs afterwards.
@@ -36,7 +36,7 @@
   // answer users' requests and start tasks.
   [[nodiscard]] bool ready() const { return recovered_ && election_.lease_valid(); }
   // When the term began.
-  [[nodiscard]] net::Ms began() const { return began_; }
+  [[nodiscard]] net::Ms began_at() const { return began_at_; }
   [[nodiscard]] const net::CallbackScope& callbacks() const { return callbacks_; }
 
  private:
@@ -44,7 +44,7 @@
   net::CallbackScope callbacks_;
   bool active_ = false;
   bool recovered_ = false;
-  net::Ms began_ = 0;
+  net::Ms began_at_ = 0;
 };
 
 }  // namespace seampass::leader
--- a/src/leader/workers/command_dispatcher.cc
+++ b/src/leader/workers/command_dispatcher.cc
@@ -84,7 +84,7 @@
   const bool idle = std::none_of(
       machine.attempts.begin(), machine.attempts.end(),
       [](const auto& entry) { return entry.second->reported && !entry.second->missing; });
-  if (idle) fleet_.remove(machine);
+  if (idle) fleet_.request_deletion(machine);
 }
 
 }  // namespace seampass::leader
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -82,7 +82,7 @@
 HeartbeatReply HeartbeatHandler::reply_to_unconfirmed(Machine& machine,
                                                       const wire::Heartbeat& heartbeat) const {
   const std::pair position{heartbeat.incarnation, heartbeat.sequence};
-  if (heartbeat.token < machine.token || position == machine.last_unconfirmed_heartbeat)
+  if (heartbeat.token < machine.shown_epoch || position == machine.last_unconfirmed_heartbeat)
     return service_unavailable();
   machine.last_unconfirmed_heartbeat = position;
   machine.note_heartbeat(context_.runtime.now());
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -50,7 +50,7 @@
   const bool any_missing = AttemptTracker::mark_missing(machine, reported, source);
   apply_exits(machine, exited);
   if (machine.draining && machine.attempts.empty() && !machine.deleting)
-    parts_.fleet.remove(machine);
+    parts_.fleet.request_deletion(machine);
   if (any_missing) parts_.absence.verify(machine);
 }
 
@@ -58,7 +58,7 @@
   if (report.incarnation > machine.incarnation) machine.replayable_starts.clear();
   machine.incarnation = report.incarnation;
   machine.sequence = report.sequence;
-  machine.token = report.token;
+  machine.shown_epoch = report.token;
   if (!machine.registered) {  // the worker is alive and has received a message of this leader
     machine.registered = true;
     machine.idle_since = context_.runtime.now();
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -86,7 +86,7 @@
     const auto running = std::count_if(
         reference.begin(), reference.end(),
         [&](const ReferenceAttempt& a) { return a.job == j && a.state == TaskState::running; });
-    EXPECT_EQ(jobs[j].running, static_cast<std::uint32_t>(running));
+    EXPECT_EQ(jobs[j].running_attempts, static_cast<std::uint32_t>(running));
     for (const ReferenceAttempt& a : reference) {
       const AttemptId id{jobs[a.job].spec.id, a.task, a.number};
       EXPECT_EQ(find_attempt_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
--- a/tests/leader_parts_test.cc
+++ b/tests/leader_parts_test.cc
@@ -29,10 +29,10 @@
   job.advance_to(Lifecycle::writing_final_status);
   job.advance_to(Lifecycle::stopping);
   EXPECT_FALSE(job.active());
-  EXPECT_TRUE(job.final_status_written());
+  EXPECT_TRUE(job.final_status_decided());
   EXPECT_FALSE(job.ended());
   job.advance_to(Lifecycle::ended);
-  EXPECT_TRUE(job.final_status_written() && job.ended());
+  EXPECT_TRUE(job.final_status_decided() && job.ended());
 }
 
 TEST(JobRecord, CountsAFinishedTaskOnce) {
@@ -173,7 +173,7 @@
   reconciler.reconcile(machine("m-1"), heartbeat_of(1, {task, {"wk-9", 0, 1}}),
                        ReportSource::heartbeat);
   ASSERT_TRUE(job.attempts.contains(0));
-  EXPECT_EQ(job.running, 1u);
+  EXPECT_EQ(job.running_attempts, 1u);
   EXPECT_EQ(job.last_attempt, 3u);
   EXPECT_FALSE(job.attempts.at(0).stop_requested);
   EXPECT_EQ(machine("m-1").unknown_tasks, 1u);
