--- a/src/leader/scheduling/headroom_estimator.cc
+++ b/src/leader/scheduling/headroom_estimator.cc
@@ -38,7 +38,7 @@
   view.types = &spec.types;
   view.zone = spec.zone;
   view.spot = spec.spot;
-  view.tasks = tasks;
+  view.task_count = tasks;
   for (std::uint32_t task = 0; task < tasks; ++task) view.pending.push_back(task);
   return view;
 }
--- a/src/leader/scheduling/scheduling_loop.cc
+++ b/src/leader/scheduling/scheduling_loop.cc
@@ -69,9 +69,9 @@
   schedule(snapshot_.update());
   // The pause scales with the pass's duration and the delay of its start, so that an overloaded
   // controller schedules less often but still handles heartbeats, lease renewals and answers in
-  // time. The tasks that a pass starts cause further work: without the pause, thousands
-  // of short tasks would end, be reported and be replaced, and nothing else would be done in time,
-  // not even the renewal of the leader's lease.
+  // time. The tasks that a pass starts cause further work: without the pause, thousands of short
+  // tasks would end, be reported and be replaced, and nothing else would be done in time, not even
+  // the renewal of the leader's lease.
   const Ms finished_at = sources_.runtime.now();
   next_pass_at_ =
       finished_at + std::max(kPassCooldownFactor * (finished_at - started_at + start_delay),
--- a/src/leader/scheduling/snapshot_builder.cc
+++ b/src/leader/scheduling/snapshot_builder.cc
@@ -21,9 +21,9 @@
 }
 
 std::vector<JobRecord*> SnapshotBuilder::update() {
-  snapshot_.choice = sources_.operator_settings.machine_choice == "first-fit"
-                         ? sched::MachineChoice::first_fit
-                         : sched::MachineChoice::scored;
+  snapshot_.machine_choice = sources_.operator_settings.machine_choice == "first-fit"
+                                 ? sched::MachineChoice::first_fit
+                                 : sched::MachineChoice::scored;
   machines_.update(snapshot_);
   update_teams();
   std::vector<JobRecord*> jobs = jobs_.update(snapshot_);
--- a/src/leader/scheduling/views.cc
+++ b/src/leader/scheduling/views.cc
@@ -42,7 +42,7 @@
     if (is_preemptible(*attempt)) view.preemptible_tasks.push_back(preemptible_task_of(*attempt));
   }
   view.images = machine.images;
-  view.tasks = machine.attempts.size();
+  view.task_count = machine.attempts.size();
 }
 
 sched::MachineView view_of_pending(const PendingScaleOut& rental, const wire::MachineType& type) {
@@ -69,7 +69,7 @@
   view.spread = spec.spread;
   view.spot = spec.spot;
   view.image = spec.image;
-  view.tasks = spec.tasks;
+  view.task_count = spec.tasks;
   for (const auto& [task, attempt] : job.attempts) ++view.placed[attempt.machine->zone];
   view.all_or_nothing = job.all_or_nothing;
   return view;
--- a/src/sched/cluster_snapshot.h
+++ b/src/sched/cluster_snapshot.h
@@ -52,7 +52,7 @@
   Resources free;                // total minus the requests of its tasks
   double price = 0;              // per hour
   std::set<std::string> images;  // images in its cache
-  std::size_t tasks = 0;         // number of tasks on it, in any state
+  std::size_t task_count = 0;    // number of tasks on it, in any state
   std::vector<ExpectedRelease> releases;
 };
 
@@ -90,7 +90,7 @@
   // How many seconds the job's start may wait for resources that are in use, before new machines
   // are rented instead.
   double wait_budget_s = 0;
-  std::uint32_t tasks = 0;             // number of tasks in the whole job
+  std::uint32_t task_count = 0;        // number of tasks in the whole job
   std::vector<std::uint32_t> pending;  // tasks to place, ascending; possibly only the first ones
   ZoneCounts placed;                   // tasks charged to a machine, by any of their attempts
   // Pairs of a task and the index of a machine that the task must avoid. That machine still has a
@@ -131,7 +131,7 @@
   // count as booting.
   std::vector<MachineView> pending_scale_out;
   std::map<std::string, TeamView> teams;
-  MachineChoice choice = MachineChoice::scored;
+  MachineChoice machine_choice = MachineChoice::scored;
 };
 
 }  // namespace seampass::sched
--- a/src/sched/consolidation.cc
+++ b/src/sched/consolidation.cc
@@ -14,14 +14,14 @@
       : machines_(snapshot.machines), restart_s_(restart_s), min_benefit_ratio_(min_benefit_ratio) {
     for (std::size_t i = 0; i < machines_.size(); ++i) {
       const MachineView& machine = machines_[i];
-      if (machine.schedulable && machine.nominated_job.empty() && machine.tasks > 0)
+      if (machine.schedulable && machine.nominated_job.empty() && machine.task_count > 0)
         machines_by_load_.push_back(i);
     }
     // The machine with the fewest tasks comes first; among equals, the one with the highest price.
     std::sort(machines_by_load_.begin(), machines_by_load_.end(),
               [this](std::size_t left, std::size_t right) {
-                return std::make_tuple(machines_[left].tasks, -machines_[left].price, left) <
-                       std::make_tuple(machines_[right].tasks, -machines_[right].price, right);
+                return std::make_tuple(machines_[left].task_count, -machines_[left].price, left) <
+                       std::make_tuple(machines_[right].task_count, -machines_[right].price, right);
               });
   }
 
@@ -44,7 +44,7 @@
   bool plan_moves_from(std::size_t rank) {
     const std::size_t from = machines_by_load_[rank];
     const MachineView& machine = machines_[from];
-    if (machine.preemptible_tasks.size() != machine.tasks || free_after_moves_.contains(from))
+    if (machine.preemptible_tasks.size() != machine.task_count || free_after_moves_.contains(from))
       return false;
     FreeByMachine tentative;
     for (const PreemptibleTask& task : machine.preemptible_tasks) {
--- a/src/sched/filter.cc
+++ b/src/sched/filter.cc
@@ -16,7 +16,7 @@
 bool spread_allows(const JobView& job, const ZoneCounts& placed, const std::string& zone) {
   if (!job.spread) return true;
   const auto in_zone = placed.find(zone);
-  return in_zone == placed.end() || in_zone->second < (job.tasks + 1) / 2;
+  return in_zone == placed.end() || in_zone->second < (job.task_count + 1) / 2;
 }
 
 bool zone_allows(const JobView& job, const ZoneCounts& placed, const std::string& zone) {
--- a/src/sched/score.h
+++ b/src/sched/score.h
@@ -37,7 +37,7 @@
                                         std::size_t machine) {
   MachineScore result;
   result.machine = machine;
-  if (snapshot.choice == MachineChoice::first_fit) return result;
+  if (snapshot.machine_choice == MachineChoice::first_fit) return result;
   const MachineView& view = snapshot.machines[machine];
   const bool fetches_image = !view.images.contains(job.image);
   const bool starts_soon = job.has_start_objective || job.within_guarantee;
--- a/tests/model/reference_scheduler.h
+++ b/tests/model/reference_scheduler.h
@@ -159,7 +159,7 @@
     for (const auto& [zone_name, count] : in_zone)
       in_other_zone = in_other_zone || (count > 0 && zone_name != machine.zone);
     if (job.one_zone && in_other_zone) return false;
-    if (job.spread && in_zone[machine.zone] + 1 > (job.tasks + 1) / 2) return false;
+    if (job.spread && in_zone[machine.zone] + 1 > (job.task_count + 1) / 2) return false;
     return true;
   }
 
--- a/tests/sched_builders.h
+++ b/tests/sched_builders.h
@@ -23,7 +23,7 @@
   job.kind = kind;
   job.request = request;
   job.types = &kAnyType;
-  job.tasks = tasks;
+  job.task_count = tasks;
   job.spot = true;
   for (std::uint32_t task = 0; task < tasks; ++task) job.pending.push_back(task);
   return job;
@@ -35,7 +35,7 @@
 inline ClusterSnapshot random_snapshot(std::mt19937& random, MachineChoice choice) {
   const auto random_below = [&](unsigned bound) { return static_cast<unsigned>(random() % bound); };
   ClusterSnapshot snapshot;
-  snapshot.choice = choice;
+  snapshot.machine_choice = choice;
   for (const char* name : {"red", "blue"}) {
     TeamView& team = snapshot.teams[name];
     if (random_below(2)) team.gpus_max = 2.0 + random_below(12);
@@ -73,9 +73,9 @@
     job.spread = !job.one_zone && random_below(3) == 0;
     job.spot = random_below(2);
     job.image = "i" + std::to_string(random_below(2));
-    job.tasks = 1 + random_below(6);
-    for (std::uint32_t task = 0; task < job.tasks; ++task) job.pending.push_back(task);
-    if (job.kind == wire::JobKind::array && random_below(2) && job.tasks > 1) {
+    job.task_count = 1 + random_below(6);
+    for (std::uint32_t task = 0; task < job.task_count; ++task) job.pending.push_back(task);
+    if (job.kind == wire::JobKind::array && random_below(2) && job.task_count > 1) {
       job.pending.erase(job.pending.begin());
       job.placed[std::string(1, static_cast<char>('a' + random_below(3)))] = 1;
     }
--- a/tests/sched_consolidation_test.cc
+++ b/tests/sched_consolidation_test.cc
@@ -18,7 +18,7 @@
                              100,    3};
   for (std::size_t tasks : {1u, 3u, 2u}) {
     machine.free = machine.total;
-    machine.tasks = tasks;
+    machine.task_count = tasks;
     machine.preemptible_tasks.assign(tasks, task);
     for (std::size_t i = 0; i < tasks; ++i) machine.free -= task.request;
     snapshot.machines.push_back(machine);
@@ -39,7 +39,7 @@
   changed.machines[1].spot = changed.machines[2].spot = true;  // the task may not use spot machines
   EXPECT_EQ(consolidation_candidates(changed, 1, 3, 9), Indices{});
   changed = snapshot;
-  changed.machines[0].tasks = 2;  // the second task is not preemptible
+  changed.machines[0].task_count = 2;  // the second task is not preemptible
   EXPECT_EQ(consolidation_candidates(changed, 1, 3, 9), Indices{});
   // No machine is emptied while a job is pending.
   snapshot.jobs.push_back(pending_job("wk-1", wire::JobKind::array, 1, {9, 1, 8}));
--- a/tests/sched_pass_test.cc
+++ b/tests/sched_pass_test.cc
@@ -44,7 +44,7 @@
   std::mt19937 random(8);
   const auto random_below = [&](unsigned bound) { return static_cast<unsigned>(random() % bound); };
   ClusterSnapshot snapshot;
-  snapshot.choice = MachineChoice::first_fit;
+  snapshot.machine_choice = MachineChoice::first_fit;
   snapshot.teams["red"];
   for (int i = 0; i < 1300; ++i) {
     MachineView machine;
@@ -65,7 +65,7 @@
                               1 + random_below(12), {4.0 + random_below(4), 1, 8});
     job.one_zone = job.kind == wire::JobKind::gang;
     job.created_ms = random_below(50);
-    tasks += job.tasks;
+    tasks += job.task_count;
     snapshot.jobs.push_back(job);
   }
   const ClusterSnapshot before = snapshot;
@@ -108,7 +108,7 @@
       std::uint32_t used_zones = 0;
       for (const auto& [zone, count] : zones) {
         used_zones += count > 0 ? 1 : 0;
-        ASSERT_TRUE(!job.spread || count <= (job.tasks + 1) / 2);
+        ASSERT_TRUE(!job.spread || count <= (job.task_count + 1) / 2);
       }
       ASSERT_TRUE(!job.one_zone || used_zones <= 1);
       if (job.kind == wire::JobKind::gang) {
