--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -91,7 +91,7 @@
     // A peer answers an announcement with a round other than 0, and its answer carries its version.
     // kVersionRound asks for the version only: the election never uses this number for a round.
     const bool ask_version =
-        round == 0 && !cluster_.finalized() && !cluster_.knows_segments(peer.node);
+        round == 0 && !cluster_.finalized() && !cluster_.reads_segments(peer.node);
     peers_.send(peer.node, rpc::LeaderAnnouncement{election_.epoch(),
                                                    ask_version ? rpc::kVersionRound : round});
   }
--- a/src/leader/attempts/attempt_lifecycle.cc
+++ b/src/leader/attempts/attempt_lifecycle.cc
@@ -37,7 +37,7 @@
 // arrives.
 void AttemptLifecycle::stop_to_checkpoint(TaskAttempt& attempt, audit::StopReason reason) {
   const double grace_s = attempt.job->spec.save_s + context_.settings.heartbeat_interval_s / 3;
-  tracker_.stop(attempt, grace_s, reason);
+  tracker_.mark_for_stop(attempt, grace_s, reason);
 }
 
 void AttemptLifecycle::stop_all(JobRecord& job, double termination_grace_s,
@@ -45,10 +45,10 @@
   std::vector<TaskAttempt*> sent;
   std::vector<TaskAttempt*> unsent;
   for (auto& [task, attempt] : job.attempts) {
-    if (attempt.stop && scope == StopScope::not_stopping_yet) continue;
-    tracker_.stop(attempt, termination_grace_s, reason);
+    if (attempt.stop_requested && scope == StopScope::not_stopping_yet) continue;
+    tracker_.mark_for_stop(attempt, termination_grace_s, reason);
     attempt.termination_grace_s = termination_grace_s;
-    (attempt.sent ? sent : unsent).push_back(&attempt);
+    (attempt.start_sent ? sent : unsent).push_back(&attempt);
   }
   commands_.send_stops(sent);
   // No start of these attempts was ever sent, so they are proven absent.
@@ -71,7 +71,7 @@
   tracker_.remove(attempt);
   task_records_.record_changed(id, task, Urgency::progress);
   hooks_.erase_if_settled(id);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // Releasing the last attempt of a job can end the job and erase its JobRecord. The second loop
@@ -97,7 +97,7 @@
 }
 
 void AttemptLifecycle::on_task_exited(TaskAttempt& attempt, const wire::TaskStatus& status) {
-  audit::exited(attempt.id(), attempt.machine->name, status.cause, attempt.stop);
+  audit::exited(attempt.id(), attempt.machine->name, status.cause, attempt.stop_requested);
   audit::absent(attempt.id(), attempt.machine->name, audit::AbsenceProof::reported_ended);
   if (status.cause == ExitCause::done) return on_task_done(attempt);
   JobRecord& job = *attempt.job;
--- a/src/leader/attempts/attempt_tracker.cc
+++ b/src/leader/attempts/attempt_tracker.cc
@@ -25,7 +25,7 @@
   job.claimed[task] = true;
   machine.attempts[{job.spec.id, task}] = &attempt;
   usage_[job.spec.team] += request_of(job.spec);
-  machine.stale = true;
+  machine.view_stale = true;
   return attempt;
 }
 
@@ -36,7 +36,7 @@
   set_state(attempt, TaskState::exited);
   machine.attempts.erase({job.spec.id, task});
   machine.idle_since = runtime_.now();
-  machine.stale = true;
+  machine.view_stale = true;
   usage_[job.spec.team] -= request_of(job.spec);
   job.attempts.erase(task);
   if (!job.ended()) job.claimed[task] = job.finished[task];
@@ -46,23 +46,23 @@
 void AttemptTracker::set_state(TaskAttempt& attempt, TaskState state) {
   if (attempt.state == state) return;
   JobRecord& job = *attempt.job;
-  if (attempt.state == TaskState::running) --job.running;
+  if (attempt.state == TaskState::running) --job.running_attempts;
   attempt.state = state;
-  attempt.machine->stale = true;
+  attempt.machine->view_stale = true;
   if (state != TaskState::running) return;
-  ++job.running;
+  ++job.running_attempts;
   if (attempt.running_since == 0) attempt.running_since = runtime_.now();
-  if (job.running == job.spec.tasks) audit::all_running(job.spec.id);
+  if (job.running_attempts == job.spec.tasks) audit::all_running(job.spec.id);
 }
 
-void AttemptTracker::stop(TaskAttempt& attempt, double termination_grace_s,
-                          audit::StopReason reason) {
-  if (attempt.stop) return;
+void AttemptTracker::mark_for_stop(TaskAttempt& attempt, double termination_grace_s,
+                                   audit::StopReason reason) {
+  if (attempt.stop_requested) return;
   audit::stop(attempt.id(), attempt.machine->name, reason);
-  attempt.stop = true;
-  attempt.machine->stale = true;
+  attempt.stop_requested = true;
+  attempt.machine->view_stale = true;
   attempt.termination_grace_s = termination_grace_s;
-  attempt.stop_since = runtime_.now();
+  attempt.stop_requested_at = runtime_.now();
 }
 
 sched::Resources AttemptTracker::usage(const std::string& team) const {
@@ -76,7 +76,7 @@
   for (const auto& [task, attempt] : machine.attempts) {
     if (reported.contains(task)) continue;
     const bool incarnation_over = attempt->incarnation != machine.incarnation;
-    const bool disappeared = source == ReportSource::heartbeat && attempt->seen;
+    const bool disappeared = source == ReportSource::heartbeat && attempt->reported;
     attempt->missing = attempt->missing || incarnation_over || disappeared;
     any_missing = any_missing || attempt->missing;
   }
@@ -96,8 +96,8 @@
     // If no report has listed the attempt yet, its start may still be in flight in the reply to a
     // heartbeat. The worker discards a reply that is older than kMaxReplyAge.
     const bool no_start_in_reply =
-        attempt->seen || runtime_.now() - attempt->start_sent_at > kMaxReplyAge;
-    if (attempt->missing && attempt->in_flight == 0 && no_start_in_reply)
+        attempt->reported || runtime_.now() - attempt->start_sent_at > kMaxReplyAge;
+    if (attempt->missing && attempt->starts_in_flight == 0 && no_start_in_reply)
       ids.push_back(attempt->id());
   }
   return ids;
@@ -109,18 +109,19 @@
   // started since then may run until that lease expires, so the last command that may have been
   // executed counts like a heartbeat.
   const Ms now = runtime_.now();
-  if (now - std::max(machine.last_heartbeat_at, machine.last_command_ack_at) <=
+  if (now - std::max(machine.last_heartbeat_at, machine.last_command_at) <=
       times.since_last_contact)
     return false;
-  const bool in_flight = std::any_of(machine.attempts.begin(), machine.attempts.end(),
-                                     [](const auto& entry) { return entry.second->in_flight > 0; });
+  const bool in_flight =
+      std::any_of(machine.attempts.begin(), machine.attempts.end(),
+                  [](const auto& entry) { return entry.second->starts_in_flight > 0; });
   if (in_flight) return false;
   // Until a worker has shown this leader's epoch, the previous leader may have been the last to
   // renew the worker's lease, and this leader does not know when.
   return epoch_confirmed || now - term_start > times.since_term_start;
 }
 
-TaskAttempt* find_on(const Machine& machine, const AttemptId& id) {
+TaskAttempt* find_attempt_on(const Machine& machine, const AttemptId& id) {
   const auto it = machine.attempts.find(id.task_id());
   if (it == machine.attempts.end() || it->second->number != id.attempt) return nullptr;
   return it->second;
--- a/src/leader/workers/heartbeat_handler.cc
+++ b/src/leader/workers/heartbeat_handler.cc
@@ -41,12 +41,13 @@
 
 HeartbeatReply HeartbeatHandler::handle(const wire::Heartbeat& heartbeat) {
   Election& election = context_.election;
-  if (!context_.term.active() || !election.may_answer()) return service_unavailable();
+  if (!context_.term.active() || !election.may_answer_heartbeats()) return service_unavailable();
   if (heartbeat.token > election.epoch()) {  // a newer leader has been elected
     election.step_down(audit::StepDownReason::worker_shows_higher_epoch);
     return service_unavailable();
   }
-  if (fleet_.deleted(heartbeat.machine)) return service_unavailable();  // can only be a late copy
+  if (fleet_.is_deleted(heartbeat.machine))
+    return service_unavailable();  // can only be a late copy
   Machine& machine = fleet_.ensure(heartbeat.machine);
   copy_description(machine, heartbeat);
   if (heartbeat.token < election.epoch()) return reply_to_unconfirmed(machine, heartbeat);
@@ -81,7 +82,7 @@
 HeartbeatReply HeartbeatHandler::reply_to_unconfirmed(Machine& machine,
                                                       const wire::Heartbeat& heartbeat) const {
   const std::pair position{heartbeat.incarnation, heartbeat.sequence};
-  if (heartbeat.token < machine.token || position == machine.last_unconfirmed_heartbeat)
+  if (heartbeat.token < machine.shown_epoch || position == machine.last_unconfirmed_heartbeat)
     return service_unavailable();
   machine.last_unconfirmed_heartbeat = position;
   machine.note_heartbeat(context_.runtime.now());
@@ -110,7 +111,7 @@
   const Ms now = context_.runtime.now();
   for (const wire::TaskStatus& task : heartbeat.tasks) {
     const AttemptId id = id_of(task);
-    const TaskAttempt* attempt = find_on(machine, id);
+    const TaskAttempt* attempt = find_attempt_on(machine, id);
     if (task.state == TaskState::exited) {
       // The worker may forget the attempt only once the task record without it is durable.
       if (!attempt && task_records_.record_settled(id.job, id.task) && may_forget(machine, task)) {
@@ -124,9 +125,9 @@
       continue;
     }
     reported.insert(id.task_id());
-    if (attempt->stop) commands.push_back(stop_command(*attempt, now));
+    if (attempt->stop_requested) commands.push_back(stop_command(*attempt, now));
   }
-  if (context_.election.holds()) append_starts(machine, reported, commands);
+  if (context_.election.lease_valid()) append_starts(machine, reported, commands);
   return commands;
 }
 
@@ -134,7 +135,7 @@
 // grace period is 0 once the attempt should have ended already.
 wire::Command HeartbeatHandler::stop_command(const TaskAttempt& attempt, Ms now) const {
   const Ms max_stop_time = net::ms(attempt.termination_grace_s + 2 * context_.settings.gang_peer_s);
-  const bool overdue = now - attempt.stop_since > max_stop_time;
+  const bool overdue = now - attempt.stop_requested_at > max_stop_time;
   return command_for(Verb::stop, attempt.id(), overdue ? 0 : attempt.termination_grace_s);
 }
 
@@ -144,20 +145,20 @@
 void HeartbeatHandler::append_starts(Machine& machine, const std::set<TaskId>& reported,
                                      std::vector<wire::Command>& commands) const {
   for (const auto& [task, attempt] : machine.attempts) {
-    if (reported.contains(task) || attempt->seen || !attempt->durable) continue;
-    if (attempt->in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
-    if (!attempt->job->active() && !attempt->stop) continue;
+    if (reported.contains(task) || attempt->reported || !attempt->durable) continue;
+    if (attempt->starts_in_flight > 0 || attempt->incarnation != machine.incarnation) continue;
+    if (!attempt->job->active() && !attempt->stop_requested) continue;
     attempt->start_sent_at = context_.runtime.now();
     audit::start(attempt->id(), machine.name, machine.incarnation, context_.election.epoch(),
                  audit::StartPath::heartbeat);
     commands.push_back(command_for(Verb::start, attempt->id()));
-    if (attempt->stop) {
+    if (attempt->stop_requested) {
       // No report has listed this attempt yet, and its start may arrive at any time. The reply
       // therefore starts and stops the attempt in one message. The worker then knows the attempt
       // and ignores a late start, and its next heartbeat lists the attempt as exited.
       commands.push_back(command_for(Verb::stop, attempt->id()));
     } else {
-      attempt->sent = true;
+      attempt->start_sent = true;
     }
   }
 }
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -32,25 +32,25 @@
   for (const wire::TaskStatus& task : report.tasks) {
     const AttemptId id = id_of(task);
     if (task.state == TaskState::exited) machine.exited.insert(id);
-    TaskAttempt* attempt = find_on(machine, id);
+    TaskAttempt* attempt = find_attempt_on(machine, id);
     if (!attempt && task.state != TaskState::exited) attempt = adopt(machine, id);
     if (!attempt) continue;
     reported.insert(id.task_id());
-    if (!attempt->seen) machine.unresponsive_since.reset();
-    attempt->seen = true;
+    if (!attempt->reported) machine.unresponsive_since.reset();
+    attempt->reported = true;
     attempt->missing = false;
     if (task.state == TaskState::exited) {
       exited.push_back(&task);
       continue;
     }
     if (task.state != TaskState::fetching && machine.images.insert(attempt->job->spec.image).second)
-      machine.stale = true;
+      machine.view_stale = true;
     parts_.tracker.set_state(*attempt, task.state);
   }
   const bool any_missing = AttemptTracker::mark_missing(machine, reported, source);
   apply_exits(machine, exited);
   if (machine.draining && machine.attempts.empty() && !machine.deleting)
-    parts_.fleet.remove(machine);
+    parts_.fleet.request_deletion(machine);
   if (any_missing) parts_.absence.verify(machine);
 }
 
@@ -58,11 +58,11 @@
   if (report.incarnation > machine.incarnation) machine.replayable_starts.clear();
   machine.incarnation = report.incarnation;
   machine.sequence = report.sequence;
-  machine.token = report.token;
+  machine.shown_epoch = report.token;
   if (!machine.registered) {  // the worker is alive and has received a message of this leader
     machine.registered = true;
     machine.idle_since = context_.runtime.now();
-    hooks_.request_pass();
+    hooks_.request_scheduling_pass();
   }
   machine.preemption_at.reset();
   if (report.notice_s) machine.preemption_at = context_.runtime.now() + net::ms(*report.notice_s);
@@ -80,11 +80,11 @@
   }
   TaskAttempt& attempt =
       parts_.tracker.add(*job, id.task, id.attempt, machine, machine.incarnation);
-  attempt.durable = attempt.sent = true;
+  attempt.durable = attempt.start_sent = true;
   job->last_attempt = std::max(job->last_attempt, id.attempt);
   parts_.task_records.record_changed(id.job, id.task, Urgency::assignment);
   if (!job->active() || job->finished[id.task] || job->gang())
-    parts_.tracker.stop(attempt, 0, audit::StopReason::not_wanted);
+    parts_.tracker.mark_for_stop(attempt, 0, audit::StopReason::not_wanted);
   return &attempt;
 }
 
@@ -95,7 +95,7 @@
   std::set<std::string> jobs;
   for (const wire::TaskStatus* task : exited) {
     jobs.insert(task->job);
-    TaskAttempt* attempt = find_on(machine, id_of(*task));
+    TaskAttempt* attempt = find_attempt_on(machine, id_of(*task));
     if (attempt) parts_.attempts.on_task_exited(*attempt, *task);
   }
   for (const std::string& id : jobs)
--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -86,10 +86,10 @@
     const auto running = std::count_if(
         reference.begin(), reference.end(),
         [&](const ReferenceAttempt& a) { return a.job == j && a.state == TaskState::running; });
-    EXPECT_EQ(jobs[j].running, static_cast<std::uint32_t>(running));
+    EXPECT_EQ(jobs[j].running_attempts, static_cast<std::uint32_t>(running));
     for (const ReferenceAttempt& a : reference) {
       const AttemptId id{jobs[a.job].spec.id, a.task, a.number};
-      EXPECT_EQ(find_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
+      EXPECT_EQ(find_attempt_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
       EXPECT_TRUE(jobs[a.job].claimed[a.task]);
     }
     ASSERT_FALSE(::testing::Test::HasFailure()) << "step " << step;
@@ -100,8 +100,8 @@
   JobRecord record = job("wk-1", "red", 1);
   Machine machine;
   tracker.add(record, 0, 2, machine, 1);
-  EXPECT_EQ(find_on(machine, {"wk-1", 0, 1}), nullptr);
-  EXPECT_NE(find_on(machine, {"wk-1", 0, 2}), nullptr);
+  EXPECT_EQ(find_attempt_on(machine, {"wk-1", 0, 1}), nullptr);
+  EXPECT_NE(find_attempt_on(machine, {"wk-1", 0, 2}), nullptr);
 }
 
 TEST_F(AttemptTrackerTest, RemovingAnAttemptKeepsAFinishedTaskClaimed) {
@@ -121,8 +121,8 @@
   Machine machine;
   machine.incarnation = 4;
   TaskAttempt& attempt = tracker.add(record, 0, 1, machine, 4);
-  attempt.seen = true;
-  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
+  attempt.reported = true;
+  EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_reply));
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {{"wk-1", 0}}, ReportSource::heartbeat));
   EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
 }
@@ -134,7 +134,7 @@
   tracker.add(record, 0, 1, machine, 4);
   EXPECT_FALSE(AttemptTracker::mark_missing(machine, {}, ReportSource::heartbeat));
   machine.incarnation = 5;
-  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_answer));
+  EXPECT_TRUE(AttemptTracker::mark_missing(machine, {}, ReportSource::command_reply));
 }
 
 TEST_F(AttemptTrackerTest, AnAttemptIsNotInspectedWhileItsStartMayBeInFlight) {
@@ -148,7 +148,7 @@
   EXPECT_TRUE(tracker.to_inspect(machine).empty());
   time.run_for(1);
   EXPECT_EQ(tracker.to_inspect(machine), std::vector<AttemptId>{attempt.id()});
-  attempt.in_flight = 1;  // a start was sent to /commands
+  attempt.starts_in_flight = 1;  // a start was sent to /commands
   EXPECT_TRUE(tracker.to_inspect(machine).empty());
 }
 
@@ -167,10 +167,10 @@
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, false, times));
   time.run_for(20000);
   EXPECT_TRUE(tracker.lease_expired(machine, term_start, false, times));
-  attempt.in_flight = 1;
+  attempt.starts_in_flight = 1;
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
-  attempt.in_flight = 0;
-  machine.last_command_ack_at = process.now();
+  attempt.starts_in_flight = 0;
+  machine.last_command_at = process.now();
   EXPECT_FALSE(tracker.lease_expired(machine, term_start, true, times));
 }
 
