--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -44,9 +44,9 @@
                                 const app::ResourceBudget& budget) {
   net::ServerLimits limits;
   limits.max_connections = budget.server_connections;
-  limits.lasting_path = kHeartbeatPath;
-  limits.idle = net::ms(settings.lease_s);
-  limits.slow = net::ms(settings.heartbeat_interval_s * kRequestTimeoutIntervals);
+  limits.worker_path = kHeartbeatPath;
+  limits.idle_timeout = net::ms(settings.lease_s);
+  limits.request_timeout = net::ms(settings.heartbeat_interval_s * kRequestTimeoutIntervals);
   return limits;
 }
 
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -21,7 +21,8 @@
 // together with its answer.
 constexpr std::size_t kReserveDivisor = 16;
 constexpr std::size_t kReserveDivisorIfMayClose = 8;
-// A connection that has not sent any byte can be evicted after 1/8 of ServerLimits::slow.
+// A connection that has not sent any byte can be evicted after 1/8 of
+// ServerLimits::request_timeout.
 constexpr Ms kFirstByteDivisor = 8;
 
 std::string response_text(const Response& response, bool keep_alive) {
@@ -124,7 +125,7 @@
     if (connection->awaiting_answer) {
       if (consumed < size) connection->pipelined.assign(data + consumed, size - consumed);
       connection->in_request = false;
-      connection->from_worker = connection->request.path == server->limits_.lasting_path;
+      connection->from_worker = connection->request.path == server->limits_.worker_path;
       server->handler_(connection->request,
                        [server, id](const Response& response) { server->answer(id, response); });
       return;
@@ -147,7 +148,7 @@
   http_parser_set_max_header_size(kMaxHeaderBytes);
   uv_tcp_init(loop_.raw(), listener_);
   listener_->data = this;
-  loop_.after(limits_.slow / 2, [this] { close_timed_out(); });
+  loop_.after(limits_.request_timeout / 2, [this] { close_timed_out(); });
 }
 
 HttpServer::~HttpServer() {
@@ -223,11 +224,11 @@
     return true;
   }
   // A client that has just connected is about to send its request, so an unused connection is
-  // evicted only if it is older than 1/8 of ServerLimits::slow. The newest connection is the one
-  // that needs the free place, so it is never evicted here.
+  // evicted only if it is older than 1/8 of ServerLimits::request_timeout. The newest connection is
+  // the one that needs the free place, so it is never evicted here.
   Connection* oldest = idle_[unused].front();
   if (oldest->id + 1 == next_id_ ||
-      loop_.now() - oldest->state_since < limits_.slow / kFirstByteDivisor)
+      loop_.now() - oldest->state_since < limits_.request_timeout / kFirstByteDivisor)
     return false;
   oldest->close();
   return true;
@@ -299,11 +300,12 @@
   std::vector<Connection*> timed_out;
   for (const auto& [id, connection] : connections_) {
     if (connection->awaiting_answer && connection->keep_alive) continue;
-    if (now - connection->state_since > (connection->in_request ? limits_.slow : limits_.idle))
+    if (now - connection->state_since >
+        (connection->in_request ? limits_.request_timeout : limits_.idle_timeout))
       timed_out.push_back(connection);
   }
   for (Connection* connection : timed_out) connection->close();
-  loop_.after(limits_.slow / 2, [this] { close_timed_out(); });
+  loop_.after(limits_.request_timeout / 2, [this] { close_timed_out(); });
 }
 
 }  // namespace seampass::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -27,7 +27,7 @@
   std::string body;
   int retry_after_s = 0;  // value of the Retry-After header; 0 omits the header
   // Says that the client gains little from a connection that stays open. The flag has an effect
-  // only on requests for ServerLimits::lasting_path: when few free connections are left, the server
+  // only on requests for ServerLimits::worker_path: when few free connections are left, the server
   // closes connections with this flag earlier than those without it.
   bool may_close = false;
 };
@@ -44,9 +44,9 @@
   // counts as a worker's connection. While it is idle, it is evicted only if there is no idle user
   // connection. When the number of connections is near max_connections, it is closed together with
   // its answer, so that other workers find a free connection for their heartbeats.
-  std::string lasting_path;
-  Ms idle = 60000;  // maximum time between two requests
-  Ms slow = 10000;  // maximum time from a request's first byte to its last
+  std::string worker_path;
+  Ms idle_timeout = 60000;     // maximum time between two requests
+  Ms request_timeout = 10000;  // maximum time from a request's first byte to its last
 };
 
 class HttpServer {
@@ -62,8 +62,8 @@
   struct Connection;
   friend struct ServerParser;
   void accept();
-  // Closes the connections that have been idle for longer than ServerLimits::idle or whose request
-  // takes longer than ServerLimits::slow. Schedules its next run.
+  // Closes the connections that have been idle for longer than ServerLimits::idle_timeout or whose
+  // request takes longer than ServerLimits::request_timeout. Schedules its next run.
   void close_timed_out();
   void answer(std::uint64_t id, const Response& response);
   // Starts to send the response. Returns false if the connection is broken.
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -79,7 +79,7 @@
 TEST(Net, ANewConnectionEvictsAnIdleUserBeforeAnIdleWorker) {
   net::ServerLimits limits;
   limits.max_connections = 3;
-  limits.lasting_path = "/checkin";
+  limits.worker_path = "/checkin";
   Loopback loopback;
   net::HttpServer& server = loopback.serve(limits);
   net::HttpClient first_client(loopback.loop, 8), second_client(loopback.loop, 8);
@@ -101,7 +101,7 @@
 TEST(Net, AllHeartbeatsAreAnsweredWithMoreWorkersThanConnections) {
   net::ServerLimits limits;
   limits.max_connections = 64;
-  limits.lasting_path = "/checkin";
+  limits.worker_path = "/checkin";
   Loopback loopback;
   net::HttpServer& server = loopback.serve(limits);
   std::vector<std::unique_ptr<net::HttpClient>> worker_clients;
