--- a/src/cloud/client.cc
+++ b/src/cloud/client.cc
@@ -36,19 +36,19 @@
 }
 
 void Client::rent(const wire::Rental& rental,
-                  std::function<void(Rented, std::vector<std::string>)> done) {
+                  std::function<void(RentalResult, std::vector<std::string>)> done) {
   enqueue(Call{endpoint_, "POST", "/rentals", wire::rental_body(rental), timeout_},
           [done = std::move(done)](const Reply& reply) {
             if (reply.is(200)) {
               try {
-                return done(Rented::ok, wire::rented_from(reply.body));
+                return done(RentalResult::ok, wire::rented_from(reply.body));
               } catch (const wire::Malformed&) {
-                return done(Rented::trouble, {});
+                return done(RentalResult::failed, {});
               }
             }
             const bool no_capacity =
                 reply.is(503) && reply.body.find("no capacity") != std::string::npos;
-            done(no_capacity ? Rented::no_capacity : Rented::trouble, {});
+            done(no_capacity ? RentalResult::no_capacity : RentalResult::failed, {});
           });
 }
 
--- a/src/cloud/client.h
+++ b/src/cloud/client.h
@@ -12,7 +12,9 @@
 
 namespace seampass::cloud {
 
-enum class Rented { ok, no_capacity, trouble };
+// The outcome of rent(). `failed` stands for every failure other than a lack of capacity; the cloud
+// may still have rented the machines.
+enum class RentalResult { ok, no_capacity, failed };
 
 class Client {
  public:
@@ -23,7 +25,8 @@
   // receives false, or a result of rent() other than `ok`, and an empty list. An empty catalog is a
   // failure.
   void catalog(std::function<void(bool, std::vector<wire::MachineType>)> done);
-  void rent(const wire::Rental& rental, std::function<void(Rented, std::vector<std::string>)> done);
+  void rent(const wire::Rental& rental,
+            std::function<void(RentalResult, std::vector<std::string>)> done);
   void remove(const std::vector<std::string>& machines, std::function<void(bool)> done);
   void machines(const std::string& after, std::function<void(bool, wire::MachinePage)> done);
 
--- a/src/cloud/machine_catalog.h
+++ b/src/cloud/machine_catalog.h
@@ -36,7 +36,7 @@
   }
 
   // Returns true once the catalog has been read successfully.
-  bool known() const { return !types_.empty(); }
+  bool loaded() const { return !types_.empty(); }
   const std::map<std::string, wire::MachineType>& types() const { return types_; }
   // Returns null if the catalog has no machine type of this name.
   const wire::MachineType* find(const std::string& name) const {
--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -86,7 +86,7 @@
 // The health check fails until the machine types are known: without them this node can't
 // decide on any submission.
 void ApiHandler::answer_health(const Answer& answer) const {
-  answer(catalog_.known() ? net::Response{200, "{}"} : unavailable("starting"));
+  answer(catalog_.loaded() ? net::Response{200, "{}"} : unavailable("starting"));
 }
 
 void ApiHandler::handle_heartbeat(const std::string& body, const Answer& answer) {
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -36,7 +36,7 @@
 void Submissions::submit(const wire::Job& job, const Answer& answer) {
   if (const auto cached = status_reader_.final_status(job.id))
     return answer({200, wire::accepted_answer(*cached), 0});
-  if (!catalog_.known()) return answer(unavailable("machine types not known yet"));
+  if (!catalog_.loaded()) return answer(unavailable("machine types not known yet"));
   const wire::Json record = leader::encode_open_record(job, runtime_.wall());
   if (const auto rejection = admission_.rejection(job, record, catalog_.types()))
     return reject(job.id, *rejection, answer);
--- a/src/leader/fleet/scale_out.cc
+++ b/src/leader/fleet/scale_out.cc
@@ -56,20 +56,20 @@
   pending_[request] = {option.type, option.zone, option.spot, rental.count};
   spdlog::debug("renting {} machines of type {} in zone {}, spot {}", rental.count, rental.type,
                 rental.zone, rental.spot);
-  cloud_.rent(rental, term_.wrap([this, request, rental](cloud::Rented result,
+  cloud_.rent(rental, term_.wrap([this, request, rental](cloud::RentalResult result,
                                                          const std::vector<std::string>& names) {
     pending_.erase(request);
     on_answer(rental, result, names);
   }));
 }
 
-void ScaleOut::on_answer(const wire::Rental& rental, cloud::Rented result,
+void ScaleOut::on_answer(const wire::Rental& rental, cloud::RentalResult result,
                          const std::vector<std::string>& names) {
   for (const std::string& name : names)
     if (!inventory_.deleted(name)) inventory_.register_rented(name, rental);
   // If the rental got no answer, the cloud may still have rented machines. They appear in the
   // cloud's list and are then used, or returned as idle.
-  if (result != cloud::Rented::ok || static_cast<int>(names.size()) < rental.count)
+  if (result != cloud::RentalResult::ok || static_cast<int>(names.size()) < rental.count)
     refused_until_[{rental.type, rental.zone, rental.spot}] =
         runtime_.now() + net::ms(std::max(4 * settings_.list_lag_s, 4 / settings_.cloud_rps));
 }
--- a/src/leader/fleet/scale_out.h
+++ b/src/leader/fleet/scale_out.h
@@ -45,7 +45,7 @@
   [[nodiscard]] const std::map<std::string, PendingScaleOut>& pending() const { return pending_; }
 
  private:
-  void on_answer(const wire::Rental& rental, cloud::Rented result,
+  void on_answer(const wire::Rental& rental, cloud::RentalResult result,
                  const std::vector<std::string>& names);
 
   net::Runtime& runtime_;
--- a/src/leader/scheduling/scheduling_loop.cc
+++ b/src/leader/scheduling/scheduling_loop.cc
@@ -64,7 +64,7 @@
 }
 
 void SchedulingLoop::run_pass(Ms lateness) {
-  if (!may_schedule() || !sources_.catalog.known()) return;
+  if (!may_schedule() || !sources_.catalog.loaded()) return;
   const Ms started_at = sources_.runtime.now();
   schedule(snapshot_.update());
   // The pause scales with the duration and the lateness of the pass, so that an overloaded
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -128,7 +128,7 @@
   cloud::Client client(time, http, "cloud:1", 100, 1000);
   client.catalog([](bool, const std::vector<wire::MachineType>&) {});
   client.rent({"n1-17", "t-large", "zone-3", false, 2},
-              [](cloud::Rented, const std::vector<std::string>&) {});
+              [](cloud::RentalResult, const std::vector<std::string>&) {});
   client.remove({"m-000051"}, [](bool) {});
   client.machines("", [](bool, const wire::MachinePage&) {});
   client.machines("m-000051", [](bool, const wire::MachinePage&) {});
@@ -147,12 +147,12 @@
     RecordingCaller http;
     cloud::Client client(time, http, "cloud:1", 100, 1000);
     http.reply = {net::Reply::Fate::answered, 503, body};
-    std::optional<cloud::Rented> result;
-    client.rent({}, [&](cloud::Rented r, const std::vector<std::string>&) { result = r; });
+    std::optional<cloud::RentalResult> result;
+    client.rent({}, [&](cloud::RentalResult r, const std::vector<std::string>&) { result = r; });
     return result;
   };
-  EXPECT_EQ(rented(R"({"error":"no capacity"})"), cloud::Rented::no_capacity);
-  EXPECT_EQ(rented(R"({"error":"trouble"})"), cloud::Rented::trouble);
+  EXPECT_EQ(rented(R"({"error":"no capacity"})"), cloud::RentalResult::no_capacity);
+  EXPECT_EQ(rented(R"({"error":"trouble"})"), cloud::RentalResult::failed);
 }
 
 TEST(Formats, RequestsOfWorkersAreAsBefore) {
