--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -37,7 +37,7 @@
   if (const auto cached = status_reader_.final_status(job.id))
     return answer({200, wire::accepted_answer(*cached), 0});
   if (!catalog_.loaded()) return answer(unavailable("machine types not known yet"));
-  const wire::Json record = leader::encode_open_record(job, runtime_.wall());
+  const wire::Json record = leader::encode_open_record(job, runtime_.unix_time_ms());
   if (const auto rejection = admission_.rejection(job, record, catalog_.types()))
     return reject(job.id, *rejection, answer);
   // The write of the job's record would wait for its turn at the state service for longer than the
--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -60,7 +60,7 @@
 void JobLifecycle::on_ready(const std::string& id, const std::string& last_dependency) const {
   JobRecord* job = parts_.jobs.find(id);
   if (!job) return;
-  job->ready_ms = context_.runtime.wall();
+  job->ready_ms = context_.runtime.unix_time_ms();
   audit::ready(id, last_dependency);
   hooks_.record_arrival(*job);
   hooks_.request_pass();
--- a/src/leader/scheduling/headroom_estimator.cc
+++ b/src/leader/scheduling/headroom_estimator.cc
@@ -63,7 +63,7 @@
 void HeadroomEstimator::record_arrival(const JobRecord& job) {
   const auto arrivals = arrivals_.find(job.spec.job_class);
   if (arrivals == arrivals_.end()) return;
-  const Ms age = std::max<Ms>(0, sources_.runtime.wall() - job.ready_ms);
+  const Ms age = std::max<Ms>(0, sources_.runtime.unix_time_ms() - job.ready_ms);
   arrivals->second.latest = job.spec;
   arrivals->second.recent.emplace_back(sources_.runtime.now() - age, job.spec.tasks);
 }
--- a/src/leader/scheduling/start_deadline_estimator.cc
+++ b/src/leader/scheduling/start_deadline_estimator.cc
@@ -19,7 +19,7 @@
 }
 
 double StartDeadlineEstimator::age_s(const JobRecord& job) const {
-  return static_cast<double>(sources_.runtime.wall() - job.ready_ms) / 1000;
+  return static_cast<double>(sources_.runtime.unix_time_ms() - job.ready_ms) / 1000;
 }
 
 bool StartDeadlineEstimator::has_start_objective(const std::string& job_class) const {
--- a/src/net/loop.cc
+++ b/src/net/loop.cc
@@ -35,7 +35,7 @@
 // suspended.
 Ms Loop::now() const { return static_cast<Ms>(uv_hrtime() / kNanosecondsPerMs); }
 
-Ms Loop::wall() const {
+Ms Loop::unix_time_ms() const {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -19,7 +19,7 @@
   Loop& operator=(const Loop&) = delete;
 
   [[nodiscard]] Ms now() const override;
-  [[nodiscard]] Ms wall() const override;
+  [[nodiscard]] Ms unix_time_ms() const override;
   TimerId after(Ms delay, std::function<void()> callback) override;
   void cancel(TimerId id) override;
 
--- a/src/net/runtime.h
+++ b/src/net/runtime.h
@@ -22,7 +22,7 @@
   // (docs/safety.md, "No cached time").
   virtual Ms now() const = 0;
   // Returns the time of day, in milliseconds since the Unix epoch.
-  virtual Ms wall() const = 0;
+  virtual Ms unix_time_ms() const = 0;
   // Runs `callback` once on the loop's thread, when `delay` has passed.
   virtual TimerId after(Ms delay, std::function<void()> callback) = 0;
   // Does nothing if the timer has already fired or been cancelled.
--- a/tests/fakes/sim_time.h
+++ b/tests/fakes/sim_time.h
@@ -18,7 +18,7 @@
 class SimTime : public net::Runtime {
  public:
   [[nodiscard]] Ms now() const override { return now_; }
-  [[nodiscard]] Ms wall() const override { return kWallClockAtStart + now_; }
+  [[nodiscard]] Ms unix_time_ms() const override { return kUnixTimeAtStart + now_; }
   net::TimerId after(Ms delay, std::function<void()> then) override {
     const net::TimerId id = next_timer_++;
     const Ms due = now_ + std::max<Ms>(0, delay);
@@ -45,7 +45,7 @@
   void run_for(Ms duration) { run_until(now_ + duration); }
 
  private:
-  static constexpr Ms kWallClockAtStart = 1'700'000'000'000;
+  static constexpr Ms kUnixTimeAtStart = 1'700'000'000'000;
 
   Ms now_ = 0;
   net::TimerId next_timer_ = 1;
@@ -63,7 +63,7 @@
   ~Process() override { *alive_ = false; }
 
   [[nodiscard]] Ms now() const override { return time_.now(); }
-  [[nodiscard]] Ms wall() const override { return time_.wall(); }
+  [[nodiscard]] Ms unix_time_ms() const override { return time_.unix_time_ms(); }
   net::TimerId after(Ms delay, std::function<void()> then) override {
     return time_.after(delay + lag, [alive = alive_, then = std::move(then)] {
       if (*alive) then();
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -48,7 +48,7 @@
     job.spec.tasks = tasks;
     job.spec.cpus = 1;
     job.spec.estimate_s = 60;
-    job.ready_ms = job.created_ms = time.wall();
+    job.ready_ms = job.created_ms = time.unix_time_ms();
     job.claimed.assign(tasks, false);
     job.finished.assign(tasks, false);
     dependencies.add(id, job.spec.priority, {});
