--- a/tests/attempt_tracker_test.cc
+++ b/tests/attempt_tracker_test.cc
@@ -46,8 +46,8 @@
 
 TEST_F(AttemptTrackerTest, AgreesWithAReferenceModel) {
   std::mt19937 random(7);
-  const auto random_below = [&](std::size_t n) {
-    return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
+  const auto random_below = [&](std::size_t bound) {
+    return std::uniform_int_distribution<std::size_t>(0, bound - 1)(random);
   };
   std::vector<JobRecord> jobs;
   for (int i = 0; i < 6; ++i)
@@ -57,40 +57,43 @@
   std::uint64_t number = 0;
   constexpr std::array kStates{TaskState::fetching, TaskState::waiting, TaskState::running};
   for (int step = 0; step < 3000; ++step) {
-    const std::size_t j = random_below(jobs.size());
+    const std::size_t job_index = random_below(jobs.size());
     const auto task = static_cast<std::uint32_t>(random_below(5));
     const auto entry =
-        std::find_if(reference.begin(), reference.end(),
-                     [&](const ReferenceAttempt& a) { return a.job == j && a.task == task; });
+        std::find_if(reference.begin(), reference.end(), [&](const ReferenceAttempt& attempt) {
+          return attempt.job == job_index && attempt.task == task;
+        });
     if (entry == reference.end()) {
-      const std::size_t m = random_below(machines.size());
-      tracker.add(jobs[j], task, ++number, machines[m], 1);
-      reference.push_back({j, task, number, m, TaskState::fetching});
+      const std::size_t machine_index = random_below(machines.size());
+      tracker.add(jobs[job_index], task, ++number, machines[machine_index], 1);
+      reference.push_back({job_index, task, number, machine_index, TaskState::fetching});
     } else if (random_below(3) == 0) {
-      tracker.remove(jobs[j].attempts.at(task));
+      tracker.remove(jobs[job_index].attempts.at(task));
       reference.erase(entry);
     } else {
       entry->state = kStates[random_below(kStates.size())];
-      tracker.set_state(jobs[j].attempts.at(task), entry->state);
+      tracker.set_state(jobs[job_index].attempts.at(task), entry->state);
     }
     for (const char* team : {"red", "blue"}) {
-      const auto charged =
-          std::count_if(reference.begin(), reference.end(),
-                        [&](const ReferenceAttempt& a) { return jobs[a.job].spec.team == team; });
+      const auto charged = std::count_if(
+          reference.begin(), reference.end(),
+          [&](const ReferenceAttempt& attempt) { return jobs[attempt.job].spec.team == team; });
       EXPECT_DOUBLE_EQ(tracker.usage(team).cpus, 2.0 * static_cast<double>(charged));
       EXPECT_DOUBLE_EQ(tracker.usage(team).gpus, 1.0 * static_cast<double>(charged));
     }
     std::size_t on_machines = 0;
     for (const Machine& machine : machines) on_machines += machine.attempts.size();
     EXPECT_EQ(on_machines, reference.size());
-    const auto running = std::count_if(
-        reference.begin(), reference.end(),
-        [&](const ReferenceAttempt& a) { return a.job == j && a.state == TaskState::running; });
-    EXPECT_EQ(jobs[j].running, static_cast<std::uint32_t>(running));
-    for (const ReferenceAttempt& a : reference) {
-      const AttemptId id{jobs[a.job].spec.id, a.task, a.number};
-      EXPECT_EQ(find_on(machines[a.machine], id), &jobs[a.job].attempts.at(a.task));
-      EXPECT_TRUE(jobs[a.job].claimed[a.task]);
+    const auto running =
+        std::count_if(reference.begin(), reference.end(), [&](const ReferenceAttempt& attempt) {
+          return attempt.job == job_index && attempt.state == TaskState::running;
+        });
+    EXPECT_EQ(jobs[job_index].running, static_cast<std::uint32_t>(running));
+    for (const ReferenceAttempt& attempt : reference) {
+      const AttemptId id{jobs[attempt.job].spec.id, attempt.task, attempt.number};
+      EXPECT_EQ(find_on(machines[attempt.machine], id),
+                &jobs[attempt.job].attempts.at(attempt.task));
+      EXPECT_TRUE(jobs[attempt.job].claimed[attempt.task]);
     }
     ASSERT_FALSE(::testing::Test::HasFailure()) << "step " << step;
   }
--- a/tests/config_test.cc
+++ b/tests/config_test.cc
@@ -1,3 +1,4 @@
+// Tests how the settings file and the operator's settings are loaded: values, defaults and errors.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
--- a/tests/dependency_admission_test.cc
+++ b/tests/dependency_admission_test.cc
@@ -1,4 +1,4 @@
-// Submissions with dependencies: which dependencies are valid, and how each node answers.
+// Tests which dependencies of a submitted job are valid, and how each node answers the submission.
 #include <gtest/gtest.h>
 
 #include "dependent_jobs.h"
--- a/tests/dependency_cancellation_test.cc
+++ b/tests/dependency_cancellation_test.cc
@@ -1,4 +1,4 @@
-// How the cancellation of a job affects the jobs that depend on it.
+// Tests how the cancellation of a job affects the jobs that depend on it.
 #include <gtest/gtest.h>
 
 #include "dependent_jobs.h"
--- a/tests/dependency_order_test.cc
+++ b/tests/dependency_order_test.cc
@@ -1,4 +1,4 @@
-// Order of starts: when a job with dependencies starts, and which job runs first.
+// Tests when a job with dependencies starts, and which job runs first.
 #include <gtest/gtest.h>
 
 #include "dependent_jobs.h"
--- a/tests/dependency_unreadable_test.cc
+++ b/tests/dependency_unreadable_test.cc
@@ -1,4 +1,5 @@
-// Unreadable final statuses: a node may neither answer users nor start dependents because of them.
+// Tests that a node that reads an unreadable final status does not report it to users and does not
+// start dependents because of it.
 #include <gtest/gtest.h>
 
 #include "dependent_jobs.h"
--- a/tests/fakes/calls.h
+++ b/tests/fakes/calls.h
@@ -1,6 +1,6 @@
 // Classifies requests in the simulated network by endpoint, path and body. Tests use these
-// functions in the rules that drop, delay and repeat requests. The protocol
-// paths and field names stand here so that tests need not repeat them.
+// functions in the rules that drop, delay and repeat requests. The protocol's paths and field names
+// are written here so that tests need not repeat them.
 #pragma once
 
 #include <string>
@@ -12,13 +12,13 @@
 inline bool is_to_store(const net::Call& call) { return call.endpoint == "state:1"; }
 inline bool is_transaction(const net::Call& call) { return call.path == "/txn"; }
 inline bool is_lease_renewal(const net::Call& call) { return call.path.ends_with("/extend"); }
-// Whether the call is a transaction that writes the final status of a job.
+// Returns whether the call is a transaction that writes the final status of a job.
 inline bool writes_final_status(const net::Call& call) {
   return is_transaction(call) && call.body.find("\"write\":\"ends/") != std::string::npos;
 }
 
 inline bool is_heartbeat(const net::Call& call) { return call.path == "/checkin"; }
-// Whether the call carries commands from the leader to a worker.
+// Returns whether the call carries commands from the leader to a worker.
 inline bool is_command(const net::Call& call) { return call.path == "/commands"; }
 inline bool is_start_command(const net::Call& call) {
   return is_command(call) && call.body.find("\"run\"") != std::string::npos;
--- a/tests/fakes/rolling_upgrade.h
+++ b/tests/fakes/rolling_upgrade.h
@@ -1,6 +1,6 @@
 // The base class of tests of a rolling upgrade: the version in production and the new version run
-// side by side and read each other's records. The tests run in simulated time against our own fakes
-// of the state service, the cloud and the workers.
+// side by side and read each other's records. The tests run in simulated time against fakes of the
+// state service, the cloud and the workers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -43,27 +43,27 @@
   }
   // Writes the records that production leaves behind. The machines in them are still listed by the
   // cloud but send no heartbeats.
-  static void leave_production_records(SimulatedCluster& w) {
-    w.time.run_for(20);
-    w.cloud.machines.clear();
-    for (const auto& [key, value] : kProductionRecords) w.put(key, wire::Json::parse(value));
-    w.checker.jobs["wk-1"].spec = array_job("wk-1", 140, 9);
-    w.checker.jobs["wk-2"].spec = gang_job("wk-2", 3, 10);
+  static void leave_production_records(SimulatedCluster& cluster) {
+    cluster.time.run_for(20);
+    cluster.cloud.machines.clear();
+    for (const auto& [key, value] : kProductionRecords) cluster.put(key, wire::Json::parse(value));
+    cluster.checker.jobs["wk-1"].spec = array_job("wk-1", 140, 9);
+    cluster.checker.jobs["wk-2"].spec = gang_job("wk-2", 3, 10);
   }
   // Writes the key `cluster` with the contents that it has once task records use the segment
   // layout.
-  static void leave_segments_in_use(SimulatedCluster& w) {
-    w.put("cluster", {{"version", 1}, {"segment_tasks", 42}, {"chunk_tasks", 128}});
+  static void leave_segments_in_use(SimulatedCluster& cluster) {
+    cluster.put("cluster", {{"version", 1}, {"segment_tasks", 42}, {"chunk_tasks", 128}});
   }
-  // How many task records have the segment layout.
-  static int segments(const SimulatedCluster& w) {
-    return static_cast<int>(w.state.count("work/") - chunks(w));
+  // Returns the number of task records that have the segment layout.
+  static int segments(const SimulatedCluster& cluster) {
+    return static_cast<int>(cluster.state.count("work/") - chunks(cluster));
   }
-  // How many task records have the chunk layout. The last part of a chunk's key begins with a
-  // digit, that of a segment's key with `s`.
-  static int chunks(const SimulatedCluster& w) {
+  // Returns the number of task records that have the chunk layout. The last part of a chunk's key
+  // begins with a digit, that of a segment's key with `s`.
+  static int chunks(const SimulatedCluster& cluster) {
     int count = 0;
-    const std::string records = w.state.dump("work/");
+    const std::string records = cluster.state.dump("work/");
     for (std::size_t at = 0; (at = records.find("work/", at)) != std::string::npos; ++at) {
       const auto slash = records.find('/', at + 5);
       count += std::isdigit(static_cast<unsigned char>(records[slash + 1])) != 0 ? 1 : 0;
--- a/tests/fault_tolerance_test.cc
+++ b/tests/fault_tolerance_test.cc
@@ -190,7 +190,8 @@
   // the same prices.
   const std::set<std::string> zone_a{"m-000001", "m-000003", "m-000005", "m-000007"};
   cut_off(cluster, zone_a);
-  cluster.time.run_for(14000);  // the leader needs time to tell a partition from a lost packet
+  // The leader needs time to distinguish a partition from lost packets.
+  cluster.time.run_for(14000);
   cluster.cloud.rented_by_zone.clear();
   for (int i = 0; i < 6; ++i) {
     cluster.submit("n0", array_job("wk-" + std::to_string(10 + i), 2, 30));
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -40,7 +40,7 @@
   }
 };
 
-TEST(Formats, ReadsAKeyAsBefore) {
+TEST(Formats, KeyReadIsUnchanged) {
   RecordedStateClient state;
   state::GetResult found;
   state.answer(200, R"({"path":"open/wk-8801","v":{"a":1},"stamp":17,"permit":4})");
@@ -53,7 +53,7 @@
   EXPECT_EQ(found.item.lease, 4U);
 }
 
-TEST(Formats, ListsKeysAsBefore) {
+TEST(Formats, KeyListingIsUnchanged) {
   RecordedStateClient state;
   state::ListResult found;
   state.answer(200,
@@ -70,7 +70,7 @@
   EXPECT_EQ(found.revision, 9U);
 }
 
-TEST(Formats, WritesTransactionsAsBefore) {
+TEST(Formats, TransactionIsUnchanged) {
   RecordedStateClient state;
   state::TxnResult result;
   state::Txn txn;
@@ -80,7 +80,7 @@
   txn.changes.push_back({"open/wk-8801", std::nullopt, 0});
   state.answer(409, R"({"failed":["ends/wk-8801"],"ledger_rev":12})");
   state.client.txn(std::move(txn), state::Urgency::final_status,
-                   [&](const state::TxnResult& r) { result = r; });
+                   [&](const state::TxnResult& received) { result = received; });
   EXPECT_EQ(
       state.http.requests,
       (Requests{
@@ -90,13 +90,14 @@
   EXPECT_EQ(result.revision, 12U);
 }
 
-TEST(Formats, WatchesKeysAsBefore) {
+TEST(Formats, WatchIsUnchanged) {
   RecordedStateClient state;
   state::WatchResult result;
   state.answer(
       200,
       R"({"log":[{"write":"leader","v":{"node":"n1"},"stamp":13},{"delete":"leader","stamp":14}],"ledger_rev":15})");
-  state.client.watch("leader", 12, 4000, [&](const state::WatchResult& r) { result = r; });
+  state.client.watch("leader", 12, 4000,
+                     [&](const state::WatchResult& received) { result = received; });
   EXPECT_EQ(state.http.requests,
             (Requests{"state:1 GET /watch?under=leader&since=12&block_ms=4000 "}));
   EXPECT_EQ(result.revision, 15U);
@@ -109,7 +110,7 @@
   EXPECT_EQ(result.events[1].version, 14U);
 }
 
-TEST(Formats, HandlesLeasesAsBefore) {
+TEST(Formats, LeaseRequestsAreUnchanged) {
   RecordedStateClient state;
   state::LeaseResult granted;
   state.answer(200, R"({"permit":6})");
@@ -122,7 +123,7 @@
   EXPECT_EQ(granted.lease, 6U);
 }
 
-TEST(Formats, RequestsOfTheCloudAreAsBefore) {
+TEST(Formats, RequestsToTheCloudAreUnchanged) {
   SimTime time;
   RecordingCaller http;
   cloud::Client client(time, http, "cloud:1", 100, 1000);
@@ -141,21 +142,23 @@
           "cloud:1 GET /rentals?most=500 ", "cloud:1 GET /rentals?most=500&since=m-000051 "}));
 }
 
-TEST(Formats, KnowsThatTheCloudHasNoCapacity) {
+TEST(Formats, RecognizesThatTheCloudHasNoCapacity) {
   const auto rented = [](const char* body) {
     SimTime time;
     RecordingCaller http;
     cloud::Client client(time, http, "cloud:1", 100, 1000);
     http.reply = {net::Reply::Fate::answered, 503, body};
     std::optional<cloud::RentalResult> result;
-    client.rent({}, [&](cloud::RentalResult r, const std::vector<std::string>&) { result = r; });
+    client.rent({}, [&](cloud::RentalResult received, const std::vector<std::string>&) {
+      result = received;
+    });
     return result;
   };
   EXPECT_EQ(rented(R"({"error":"no capacity"})"), cloud::RentalResult::no_capacity);
   EXPECT_EQ(rented(R"({"error":"trouble"})"), cloud::RentalResult::failed);
 }
 
-TEST(Formats, RequestsOfWorkersAreAsBefore) {
+TEST(Formats, RequestsToWorkersAreUnchanged) {
   RecordingCaller http;
   workers::Client client(http, 1000, 10);
   client.send("10.9.8.7:9100", 91, 3, {{wire::Verb::forget, "wk-8803", 5, 1, 0}},
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -46,9 +46,9 @@
     int ok_replies = 0;
     std::size_t finished = 0;
     for (const std::string& path : paths)
-      client.call({endpoint, "GET", path, "", 2000}, [&](const net::Reply& r) {
+      client.call({endpoint, "GET", path, "", 2000}, [&](const net::Reply& reply) {
         ++finished;
-        ok_replies += r.is(200) ? 1 : 0;
+        ok_replies += reply.is(200) ? 1 : 0;
       });
     while (finished < paths.size()) uv_run(loop.raw(), UV_RUN_ONCE);
     settle();
@@ -115,9 +115,9 @@
       const int expected_finished = finished + 4;
       for (std::size_t i = first; i < first + 4; ++i)
         worker_clients[i]->call({loopback.endpoints[0], "POST", "/checkin", "{}", 2000},
-                                [&](const net::Reply& r) {
+                                [&](const net::Reply& reply) {
                                   ++finished;
-                                  ok_replies += r.is(200) ? 1 : 0;
+                                  ok_replies += reply.is(200) ? 1 : 0;
                                 });
       while (finished < expected_finished) uv_run(loopback.loop.raw(), UV_RUN_ONCE);
       max_connections_seen = std::max(max_connections_seen, server.connections());
@@ -145,7 +145,8 @@
   EXPECT_EQ(loopback.request_all(client, endpoint, {"/keys/a"}), 1);  // opens the connection
   busy_until = loopback.loop.now() + kTimeout + 10;
   std::optional<net::Reply> reply;
-  client.call({endpoint, "GET", "/keys/a", "", kTimeout}, [&](const net::Reply& r) { reply = r; });
+  client.call({endpoint, "GET", "/keys/a", "", kTimeout},
+              [&](const net::Reply& received) { reply = received; });
   while (!reply) uv_run(loopback.loop.raw(), UV_RUN_ONCE);
   EXPECT_TRUE(reply->is(200));
 }
@@ -158,7 +159,7 @@
   net::HttpClient client(loopback.loop, 4);
   std::optional<net::Reply> reply;
   client.call({Loopback::listen(unresponsive), "GET", "/keys/a", "", 500},
-              [&](const net::Reply& r) { reply = r; });
+              [&](const net::Reply& received) { reply = received; });
   while (!reply) uv_run(loopback.loop.raw(), UV_RUN_ONCE);
   EXPECT_EQ(reply->fate, net::Reply::Fate::unknown);
 }
--- a/tests/peer_compatibility_test.cc
+++ b/tests/peer_compatibility_test.cc
@@ -1,5 +1,5 @@
-// Controllers of this version and of the version in production read each other's messages, as they
-// must during an upgrade.
+// Tests that controllers of this version and of the version in production read each other's
+// messages, as they must during an upgrade.
 #include <capnp/message.h>
 #include <capnp/serialize.h>
 #include <gtest/gtest.h>
--- a/tests/peer_frames_test.cc
+++ b/tests/peer_frames_test.cc
@@ -1,5 +1,5 @@
-// encode_frame() and FrameReader: the reader finds the frames no matter how their bytes are divided
-// among several reads.
+// Tests encode_frame() and FrameReader: the reader finds the frames no matter how their bytes are
+// divided among several reads.
 #include "rpc/peer_frames.h"
 
 #include <gtest/gtest.h>
--- a/tests/randomized_faults_test.cc
+++ b/tests/randomized_faults_test.cc
@@ -1,6 +1,6 @@
 // Runs random sequences of overlapping faults, one sequence per seed. Once all faults have ended,
-// every accepted job must be known, and every job must end. The tests run in simulated time,
-// against the fakes of the state service, the cloud and the workers.
+// status queries must find every accepted job, and every job must end. The tests run in simulated
+// time, against the fakes of the state service, the cloud and the workers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -1,3 +1,5 @@
+// Tests how RecordStore writes task records and final statuses when answers are lost or late, when
+// the writer no longer leads, and when a final status is already stored.
 #include "leader/records/record_store.h"
 
 #include <gtest/gtest.h>
--- a/tests/request_queue_test.cc
+++ b/tests/request_queue_test.cc
@@ -1,4 +1,4 @@
-// RequestQueue: the order in which requests are sent to the state service, and the rate.
+// Tests the order and the rate in which RequestQueue sends requests to the state service.
 #include "state/request_queue.h"
 
 #include <gtest/gtest.h>
--- a/tests/rpc_test.cc
+++ b/tests/rpc_test.cc
@@ -1,5 +1,5 @@
-// encode() and decode() of the messages between controllers: decoding restores an encoded message,
-// and malformed bytes cause no exception other than std::runtime_error, the only one that
+// Tests encode() and decode() of the messages between controllers: decoding restores an encoded
+// message, and malformed bytes cause no exception other than std::runtime_error, the only one that
 // IncomingConnection catches.
 #include <gtest/gtest.h>
 
--- a/tests/sched_consolidation_test.cc
+++ b/tests/sched_consolidation_test.cc
@@ -1,3 +1,4 @@
+// Tests which machines are emptied because their tasks fit on fuller machines.
 #include <gtest/gtest.h>
 
 #include "sched/snapshot.h"
--- a/tests/sched_pass_test.cc
+++ b/tests/sched_pass_test.cc
@@ -1,3 +1,4 @@
+// Tests the placements of a scheduling pass: against a reference scheduler, and against the limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/sched_preemption_test.cc
+++ b/tests/sched_preemption_test.cc
@@ -1,3 +1,4 @@
+// Tests which tasks a scheduling pass preempts, and for which jobs.
 #include <gtest/gtest.h>
 
 #include "sched/snapshot.h"
--- a/tests/sched_queue_order_test.cc
+++ b/tests/sched_queue_order_test.cc
@@ -1,3 +1,4 @@
+// Tests the order in which a scheduling pass considers the pending jobs.
 #include <gtest/gtest.h>
 
 #include "sched/snapshot.h"
--- a/tests/sched_scaling_test.cc
+++ b/tests/sched_scaling_test.cc
@@ -1,3 +1,4 @@
+// Tests which machines are rented for pending jobs and which are kept as headroom.
 #include <gtest/gtest.h>
 
 #include "sched/snapshot.h"
--- a/tests/sim_net_test.cc
+++ b/tests/sim_net_test.cc
@@ -1,5 +1,5 @@
-// The simulated network handles each request as the delivery rule specifies. All tests that inject
-// network faults depend on this.
+// Tests that the simulated network handles each request as the delivery rule specifies. All tests
+// that inject network faults depend on this.
 #include "fakes/sim_net.h"
 
 #include <gtest/gtest.h>
--- a/tests/state_protocol_test.cc
+++ b/tests/state_protocol_test.cc
@@ -1,4 +1,4 @@
-// The outcome of each answer of the state service, and of requests without an answer.
+// Tests which outcome follows from each answer of the state service, and from a missing answer.
 // formats_requests_test.cc compares requests and answers with literals.
 #include <gtest/gtest.h>
 
--- a/tests/store_faults_test.cc
+++ b/tests/store_faults_test.cc
@@ -119,16 +119,17 @@
 // Sends users' polls, far more of them than the state service could answer.
 class PollStorm {
  public:
-  // Sends the polls to n0 and n2 in turn. If `down` names one of these two, n1 takes its place.
-  PollStorm(SimulatedCluster& cluster, std::string down)
-      : cluster_(cluster), down_(std::move(down)) {}
+  // Sends the polls to n0 and n2 in turn. If `stopped_node` names one of these two, n1 takes its
+  // place.
+  PollStorm(SimulatedCluster& cluster, std::string stopped_node)
+      : cluster_(cluster), stopped_node_(std::move(stopped_node)) {}
 
   void poll(int times) {
     for (int i = 0; i < times; ++i) {
       const std::string node = sent_ % 2 == 0 ? "n0" : "n2";
       const std::string path = "/api/jobs/wk-" + std::to_string(100 + sent_++ % 40);
       cluster_.net.call("user", alive_,
-                        {(node == down_ ? "n1" : node) + ":8080", "GET", path, "", 5000},
+                        {(node == stopped_node_ ? "n1" : node) + ":8080", "GET", path, "", 5000},
                         [this](const net::Reply& reply) {
                           answered_ += reply.fate == net::Reply::Fate::answered ? 1 : 0;
                         });
@@ -139,7 +140,7 @@
 
  private:
   SimulatedCluster& cluster_;
-  std::string down_;
+  std::string stopped_node_;
   int sent_ = 0;
   int answered_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -1,3 +1,4 @@
+// Tests the encoding and decoding of messages that are exchanged with users, workers and the cloud.
 #include <gtest/gtest.h>
 
 #include <functional>
