--- a/tests/fault_tolerance_test.cc
+++ b/tests/fault_tolerance_test.cc
@@ -96,7 +96,7 @@
   cluster.expect_no_violations();
 }
 
-// Copies of a crashed machine's last heartbeat must not make the machine look alive.
+// Copies of a crashed machine's last heartbeat must not make the machine appear to be up.
 TEST(FaultTolerance, ReplacesADeadMachineDespiteCopiesOfItsHeartbeat) {
   SimulatedCluster cluster(1, 2);
   ASSERT_TRUE(cluster.wait_for_leader());
--- a/tests/formats_answers_test.cc
+++ b/tests/formats_answers_test.cc
@@ -18,8 +18,8 @@
 
 // One controller of a cluster of three, with a simulated state service and cloud. The other two
 // controllers never answer.
-struct LoneNode {
-  LoneNode() {
+struct SingleNode {
+  SingleNode() {
     net.serve("state:1", [this](const net::Request& request, net::Answer answer) {
       state.handle(request, std::move(answer));
     });
@@ -67,60 +67,60 @@
 wire::Job single_task() { return array_job("wk-8801", 1); }
 
 TEST(Formats, AnswersToSubmissionsPollsAndCancellationsAreUnchanged) {
-  LoneNode lone;
-  lone.lead();
+  SingleNode single;
+  single.lead();
 
-  expect_response(lone.ask("GET", "/up"), 200, "{}");
-  expect_response(lone.submit(single_task()), 201, R"({"ref":"wk-8801","stage":"queued"})");
-  expect_response(lone.submit(single_task()), 200, R"({"ref":"wk-8801","stage":"queued"})");
-  expect_response(lone.ask("GET", "/api/jobs/wk-8801"), 200,
+  expect_response(single.ask("GET", "/up"), 200, "{}");
+  expect_response(single.submit(single_task()), 201, R"({"ref":"wk-8801","stage":"queued"})");
+  expect_response(single.submit(single_task()), 200, R"({"ref":"wk-8801","stage":"queued"})");
+  expect_response(single.ask("GET", "/api/jobs/wk-8801"), 200,
                   R"({"done":0,"ref":"wk-8801","running":0,"stage":"queued"})");
-  expect_response(lone.ask("POST", "/api/jobs/wk-8801/abort"), 200,
+  expect_response(single.ask("POST", "/api/jobs/wk-8801/abort"), 200,
                   R"({"ref":"wk-8801","stage":"withdrawn"})");
-  expect_response(lone.ask("GET", "/api/jobs/wk-8801"), 200,
+  expect_response(single.ask("GET", "/api/jobs/wk-8801"), 200,
                   R"({"done":0,"ref":"wk-8801","running":0,"stage":"withdrawn"})");
-  expect_response(lone.submit(single_task()), 200, R"({"ref":"wk-8801","stage":"withdrawn"})");
+  expect_response(single.submit(single_task()), 200, R"({"ref":"wk-8801","stage":"withdrawn"})");
 }
 
 TEST(Formats, NotFoundAnswersAreUnchanged) {
-  LoneNode lone;
-  lone.lead();
+  SingleNode single;
+  single.lead();
   const std::string no_path = R"({"error":"no such path"})";
   const std::string no_job = R"({"error":"no such job"})";
 
-  expect_response(lone.ask("GET", "/api/else"), 404, no_path);
-  expect_response(lone.ask("GET", "/api/jobs/wk-8801/tasks"), 404, no_path);
-  expect_response(lone.ask("GET", "/api/jobs/job-1"), 404, no_job);
-  expect_response(lone.ask("GET", "/api/jobs/wk-8801"), 404, no_job);
-  expect_response(lone.ask("POST", "/api/jobs/wk-8801/abort"), 404, no_job);
+  expect_response(single.ask("GET", "/api/else"), 404, no_path);
+  expect_response(single.ask("GET", "/api/jobs/wk-8801/tasks"), 404, no_path);
+  expect_response(single.ask("GET", "/api/jobs/job-1"), 404, no_job);
+  expect_response(single.ask("GET", "/api/jobs/wk-8801"), 404, no_job);
+  expect_response(single.ask("POST", "/api/jobs/wk-8801/abort"), 404, no_job);
 }
 
 TEST(Formats, MethodNotAllowedAnswersAreUnchanged) {
-  LoneNode lone;
+  SingleNode single;
   const std::string refusal = R"({"error":"method not allowed"})";
 
-  expect_response(lone.ask("DELETE", "/api/jobs"), 405, refusal);
-  expect_response(lone.ask("POST", "/api/jobs/wk-8801"), 405, refusal);
-  expect_response(lone.ask("GET", "/api/jobs/wk-8801/abort"), 405, refusal);
-  expect_response(lone.ask("GET", "/checkin"), 405, refusal);
-  expect_response(lone.ask("POST", "/up"), 405, refusal);
+  expect_response(single.ask("DELETE", "/api/jobs"), 405, refusal);
+  expect_response(single.ask("POST", "/api/jobs/wk-8801"), 405, refusal);
+  expect_response(single.ask("GET", "/api/jobs/wk-8801/abort"), 405, refusal);
+  expect_response(single.ask("GET", "/checkin"), 405, refusal);
+  expect_response(single.ask("POST", "/up"), 405, refusal);
 }
 
 TEST(Formats, AnswersToMalformedRequestsAreUnchanged) {
-  LoneNode lone;
-  lone.lead();
+  SingleNode single;
+  single.lead();
 
-  expect_response(lone.ask("POST", "/api/jobs", "{"), 400, R"({"error":"not JSON"})");
-  expect_response(lone.ask("POST", "/api/jobs", "[]"), 400, R"({"error":"not an object"})");
-  expect_response(lone.ask("POST", "/api/jobs", "{}"), 400, R"({"error":"ref: missing"})");
-  expect_response(lone.ask("POST", "/checkin", "{}"), 400, R"({"error":"host: missing"})");
+  expect_response(single.ask("POST", "/api/jobs", "{"), 400, R"({"error":"not JSON"})");
+  expect_response(single.ask("POST", "/api/jobs", "[]"), 400, R"({"error":"not an object"})");
+  expect_response(single.ask("POST", "/api/jobs", "{}"), 400, R"({"error":"ref: missing"})");
+  expect_response(single.ask("POST", "/checkin", "{}"), 400, R"({"error":"host: missing"})");
 }
 
 TEST(Formats, RefusalsOfJobsThatCanNeverRunAreUnchanged) {
-  LoneNode lone;
-  lone.lead();
+  SingleNode single;
+  single.lead();
   const auto expect_refusal = [&](const wire::Job& job, const std::string& reason) {
-    expect_response(lone.submit(job), 422, R"({"error":")" + reason + "\"}");
+    expect_response(single.submit(job), 422, R"({"error":")" + reason + "\"}");
   };
   wire::Job job = single_task();
   job.team = "nobody";
@@ -139,38 +139,39 @@
 }
 
 TEST(Formats, RefusalsOfImpossibleDependenciesAreUnchanged) {
-  LoneNode lone;
-  lone.lead();
+  SingleNode single;
+  single.lead();
   wire::Job job = single_task();
 
   job.dependencies = {"wk-8801"};
-  expect_response(lone.submit(job), 422, R"({"error":"it depends on itself"})");
+  expect_response(single.submit(job), 422, R"({"error":"it depends on itself"})");
   job.dependencies = {"wk-404"};
-  expect_response(lone.submit(job), 422,
+  expect_response(single.submit(job), 422,
                   R"({"error":"it depends on a job that was never accepted"})");
 }
 
 TEST(Formats, UnavailableAnswersDuringStartupAreUnchanged) {
-  LoneNode lone;
+  SingleNode single;
 
-  expect_response(lone.ask("GET", "/up"), 503, R"({"error":"starting"})", 1);
-  expect_response(lone.submit(single_task()), 503, R"({"error":"machine types not known yet"})", 1);
-  expect_response(lone.ask("POST", "/api/jobs/wk-8801/abort"), 503,
+  expect_response(single.ask("GET", "/up"), 503, R"({"error":"starting"})", 1);
+  expect_response(single.submit(single_task()), 503, R"({"error":"machine types not known yet"})",
+                  1);
+  expect_response(single.ask("POST", "/api/jobs/wk-8801/abort"), 503,
                   R"({"error":"no leader can answer"})", 1);
 }
 
 TEST(Formats, UnavailableAnswersDuringAStateServiceOutageAreUnchanged) {
-  LoneNode lone;
-  lone.lead();
-  lone.state.down = true;
-  lone.time.run_for(60000);
+  SingleNode single;
+  single.lead();
+  single.state.down = true;
+  single.time.run_for(60000);
   const std::string refusal = R"({"error":"state not available"})";
 
-  expect_response(lone.submit(single_task()), 503, refusal, 1);
-  expect_response(lone.ask("GET", "/api/jobs/wk-8802"), 503, refusal, 1);
+  expect_response(single.submit(single_task()), 503, refusal, 1);
+  expect_response(single.ask("GET", "/api/jobs/wk-8802"), 503, refusal, 1);
   wire::Job job = single_task();
   job.dependencies = {"wk-8802"};
-  expect_response(lone.submit(job), 503, R"({"error":"dependencies not known yet"})", 1);
+  expect_response(single.submit(job), 503, R"({"error":"dependencies not known yet"})", 1);
 }
 
 const char* const kHeartbeat =
@@ -180,21 +181,22 @@
 // `warrant` is the leader's epoch: the version of the record `leader` in the state service. It is 1
 // because that record is the first one written there.
 TEST(Formats, HeartbeatAnswersOfTheLeaderAreUnchanged) {
-  LoneNode lone;
-  lone.lead();
+  SingleNode single;
+  single.lead();
 
-  expect_response(lone.ask("POST", "/checkin", kHeartbeat), 200, R"({"orders":[],"warrant":1})");
-  expect_response(lone.ask("POST", "/checkin", kHeartbeat), 503, "{}");  // a duplicate
+  expect_response(single.ask("POST", "/checkin", kHeartbeat), 200, R"({"orders":[],"warrant":1})");
+  expect_response(single.ask("POST", "/checkin", kHeartbeat), 503, "{}");  // a duplicate
 }
 
 TEST(Formats, HeartbeatAnswersOfAFollowerAreUnchanged) {
-  LoneNode lone;
-  expect_response(lone.ask("POST", "/checkin", kHeartbeat), 421, "{}");
-  lone.state.handle({"POST", "/txn", R"({"if":[],"apply":[{"write":"leader","v":{"node":"n2"}}]})"},
-                    [](const net::Response&) {});
-  lone.node.start();
-  lone.time.run_for(3000);
-  expect_response(lone.ask("POST", "/checkin", kHeartbeat), 421, R"({"steward":"n2"})");
+  SingleNode single;
+  expect_response(single.ask("POST", "/checkin", kHeartbeat), 421, "{}");
+  single.state.handle(
+      {"POST", "/txn", R"({"if":[],"apply":[{"write":"leader","v":{"node":"n2"}}]})"},
+      [](const net::Response&) {});
+  single.node.start();
+  single.time.run_for(3000);
+  expect_response(single.ask("POST", "/checkin", kHeartbeat), 421, R"({"steward":"n2"})");
 }
 
 // Makes the server listen on the first free port and returns its endpoint.
--- a/tests/formats_peers_test.cc
+++ b/tests/formats_peers_test.cc
@@ -13,8 +13,8 @@
 std::string hex_from(const std::string& bytes) {
   static constexpr char digits[] = "0123456789abcdef";
   std::string hex;
-  for (const char c : bytes) {
-    const auto byte = static_cast<unsigned char>(c);
+  for (const char character : bytes) {
+    const auto byte = static_cast<unsigned char>(character);
     hex += {digits[byte >> 4], digits[byte & 15]};
   }
   return hex;
--- a/tests/store_faults_test.cc
+++ b/tests/store_faults_test.cc
@@ -117,11 +117,11 @@
 }
 
 // Sends users' polls, far more of them than the state service could answer.
-class PollStorm {
+class PollLoad {
  public:
   // Sends the polls to n0 and n2 in turn. If `stopped_node` names one of these two, n1 takes its
   // place.
-  PollStorm(SimulatedCluster& cluster, std::string stopped_node)
+  PollLoad(SimulatedCluster& cluster, std::string stopped_node)
       : cluster_(cluster), stopped_node_(std::move(stopped_node)) {}
 
   void poll(int times) {
@@ -160,10 +160,10 @@
   cluster.time.run_for(1000);
   const int refused_before = cluster.state.refused;
 
-  PollStorm storm(cluster, former_leader);
+  PollLoad polls(cluster, former_leader);
   int submitted = 0;
   for (; cluster.leader().empty() && submitted < 100; ++submitted) {
-    storm.poll(100);
+    polls.poll(100);
     const Ms submitted_at = cluster.time.now();
     const std::string id = "wk-" + std::to_string(500 + submitted);
     EXPECT_EQ(cluster.submit(cluster.follower(), array_job(id, 1, 30)).status, 201) << id;
@@ -174,8 +174,8 @@
   EXPECT_GT(submitted, 10);
   EXPECT_LT(submitted, 100);  // a leader is elected despite the load
   cluster.time.run_for(5000);
-  EXPECT_EQ(storm.answered(), storm.sent());
-  EXPECT_LT((cluster.state.refused - refused_before) * 20, storm.sent());
+  EXPECT_EQ(polls.answered(), polls.sent());
+  EXPECT_LT((cluster.state.refused - refused_before) * 20, polls.sent());
   cluster.expect_no_violations();
 }
 
