--- a/src/leader/scheduling/scheduling_loop.cc
+++ b/src/leader/scheduling/scheduling_loop.cc
@@ -64,7 +64,7 @@
 }
 
 void SchedulingLoop::run_pass(Ms start_delay) {
-  if (!may_schedule() || !sources_.catalog.known()) return;
+  if (!may_schedule() || !sources_.catalog.loaded()) return;
   const Ms started_at = sources_.runtime.now();
   schedule(snapshot_.update());
   // The pause scales with the pass's duration and the delay of its start, so that an overloaded
--- a/tests/store_faults_test.cc
+++ b/tests/store_faults_test.cc
@@ -117,18 +117,19 @@
 }
 
 // Sends users' polls, far more of them than the state service could answer.
-class PollStorm {
+class PollLoad {
  public:
-  // Sends the polls to n0 and n2 in turn. If `down` names one of these two, n1 takes its place.
-  PollStorm(SimulatedCluster& cluster, std::string down)
-      : cluster_(cluster), down_(std::move(down)) {}
+  // Sends the polls to n0 and n2 in turn. If `stopped_node` names one of these two, n1 takes its
+  // place.
+  PollLoad(SimulatedCluster& cluster, std::string stopped_node)
+      : cluster_(cluster), stopped_node_(std::move(stopped_node)) {}
 
   void poll(int times) {
     for (int i = 0; i < times; ++i) {
       const std::string node = sent_ % 2 == 0 ? "n0" : "n2";
       const std::string path = "/api/jobs/wk-" + std::to_string(100 + sent_++ % 40);
       cluster_.net.call("user", alive_,
-                        {(node == down_ ? "n1" : node) + ":8080", "GET", path, "", 5000},
+                        {(node == stopped_node_ ? "n1" : node) + ":8080", "GET", path, "", 5000},
                         [this](const net::Reply& reply) {
                           answered_ += reply.fate == net::Reply::Fate::answered ? 1 : 0;
                         });
@@ -139,7 +140,7 @@
 
  private:
   SimulatedCluster& cluster_;
-  std::string down_;
+  std::string stopped_node_;
   int sent_ = 0;
   int answered_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -159,10 +160,10 @@
   cluster.time.run_for(1000);
   const int refused_before = cluster.state.refused;
 
-  PollStorm storm(cluster, former_leader);
+  PollLoad polls(cluster, former_leader);
   int submitted = 0;
   for (; cluster.leader().empty() && submitted < 100; ++submitted) {
-    storm.poll(100);
+    polls.poll(100);
     const Ms submitted_at = cluster.time.now();
     const std::string id = "wk-" + std::to_string(500 + submitted);
     EXPECT_EQ(cluster.submit(cluster.follower(), array_job(id, 1, 30)).status, 201) << id;
@@ -173,8 +174,8 @@
   EXPECT_GT(submitted, 10);
   EXPECT_LT(submitted, 100);  // a leader is elected despite the load
   cluster.time.run_for(5000);
-  EXPECT_EQ(storm.answered(), storm.sent());
-  EXPECT_LT((cluster.state.refused - refused_before) * 20, storm.sent());
+  EXPECT_EQ(polls.answered(), polls.sent());
+  EXPECT_LT((cluster.state.refused - refused_before) * 20, polls.sent());
   cluster.expect_no_violations();
 }
 
