--- a/src/jobs/job_acceptance.cc
+++ b/src/jobs/job_acceptance.cc
@@ -21,7 +21,7 @@
   rpc::JobReply reply;
   reply.lookup = rpc::Lookup::found;
   reply.status.id = job;
-  reply.fresh = true;
+  reply.created = true;
   return reply;
 }
 
--- a/src/jobs/job_acceptance.h
+++ b/src/jobs/job_acceptance.h
@@ -27,7 +27,7 @@
                 JobStatusFinder& finder, LeaderClient& leader_client, rpc::PeerTransport& peers);
 
   // Calls `on_reply` exactly once, possibly before this function returns. The reply is `found` and
-  // `fresh` if this call made the job durable, the job's known status if the job was accepted
+  // `created` if this call made the job durable, the job's known status if the job was accepted
   // before, and `unavailable` if neither could be established.
   void accept(const std::string& job, const wire::Json& record, Forwarding forwarding,
               const JobReplyHandler& on_reply);
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -79,17 +79,16 @@
 
 void Submissions::accept(const std::string& job, const wire::Json& record,
                          InitialStage initial_stage, const Answer& answer) {
-  acceptance_.accept(job, record, Forwarding::allowed,
-                     [answer, initial_stage](const rpc::JobReply& reply) {
-                       if (reply.lookup != rpc::Lookup::found)
-                         return answer(unavailable("state not available"));
-                       wire::JobStatus status = reply.status;
-                       // A job that depends on a cancelled job is accepted as well, and counts as
-                       // cancelled at once.
-                       if (reply.fresh && initial_stage == InitialStage::cancelled_with_dependency)
-                         status.stage = wire::Stage::cancelled;
-                       answer({reply.fresh ? 201 : 200, wire::accepted_answer(status), 0});
-                     });
+  acceptance_.accept(
+      job, record, Forwarding::allowed, [answer, initial_stage](const rpc::JobReply& reply) {
+        if (reply.lookup != rpc::Lookup::found) return answer(unavailable("state not available"));
+        wire::JobStatus status = reply.status;
+        // A job that depends on a cancelled job is accepted as well, and counts as cancelled at
+        // once.
+        if (reply.created && initial_stage == InitialStage::cancelled_with_dependency)
+          status.stage = wire::Stage::cancelled;
+        answer({reply.created ? 201 : 200, wire::accepted_answer(status), 0});
+      });
 }
 
 }  // namespace seampass::jobs
--- a/src/leader/recovery/prefix_listing.cc
+++ b/src/leader/recovery/prefix_listing.cc
@@ -25,7 +25,7 @@
     return;
   }
   hooks_.on_page(page, position);
-  if (page.more && !page.items.empty())
+  if (page.has_more && !page.items.empty())
     return request_page(page.items.back().key, PagePosition::later);
   hooks_.on_complete();
 }
--- a/src/rpc/peer.h
+++ b/src/rpc/peer.h
@@ -45,7 +45,7 @@
   std::uint64_t number = 0;
   Lookup lookup = Lookup::unavailable;
   wire::JobStatus status;  // its id is empty, since the id is not sent
-  bool fresh = false;      // the submission created the job, which did not exist before
+  bool created = false;    // the submission created the job, which did not exist before
 };
 
 // Announces that the sender leads with this epoch. A node that gets no answer from the state
@@ -74,19 +74,19 @@
 using PeerVersion = std::uint16_t;
 // A program that states no version. It supports no dependencies between jobs, and only the chunk
 // layout of task records.
-inline constexpr PeerVersion kVersionUnsaid = 0;
+inline constexpr PeerVersion kVersionUnstated = 0;
 // Supports dependencies between jobs, and the segment layout of task records.
 inline constexpr PeerVersion kVersionSegments = 1;
 inline constexpr PeerVersion kOwnVersion = kVersionSegments;
 
 // A received message, with the version of the program that sent it.
 struct Envelope {
-  PeerVersion version = kVersionUnsaid;
+  PeerVersion version = kVersionUnstated;
   Message message;
 };
 
 // Handles a received message; `from` is the name of the node that sent it.
-using Receive = std::function<void(const std::string& from, const Envelope&)>;
+using MessageHandler = std::function<void(const std::string& from, const Envelope&)>;
 
 // Carries messages between this controller and the others, which it addresses by their node names.
 class PeerTransport {
@@ -98,7 +98,7 @@
   // Closes the connection to a node that seems stuck. A later message opens a new connection.
   virtual void reset(const std::string& node) = 0;
   // Sets the handler that is called with each message that arrives from then on.
-  virtual void on_receive(Receive receive) = 0;
+  virtual void on_receive(MessageHandler handler) = 0;
 };
 
 }  // namespace seampass::rpc
--- a/src/rpc/peer_codec.cc
+++ b/src/rpc/peer_codec.cc
@@ -36,7 +36,7 @@
   builder.setStage(static_cast<std::uint8_t>(reply.status.stage));
   builder.setDone(reply.status.done);
   builder.setRunning(reply.status.running);
-  builder.setFresh(reply.fresh);
+  builder.setFresh(reply.created);
 }
 
 void write(schema::Envelope::Builder& envelope, const LeaderAnnouncement& announcement) {
@@ -73,7 +73,7 @@
   reply.status.stage = static_cast<wire::Stage>(reader.getStage());
   reply.status.done = reader.getDone();
   reply.status.running = reader.getRunning();
-  reply.fresh = reader.getFresh();
+  reply.created = reader.getFresh();
   return reply;
 }
 
--- a/src/rpc/peer_link.cc
+++ b/src/rpc/peer_link.cc
@@ -58,7 +58,7 @@
               .on_payload =
                   [this](const std::string& node, std::string_view payload) {
                     const Envelope envelope = decode(payload);
-                    if (receive_) receive_(node, envelope);
+                    if (handler_) handler_(node, envelope);
                   },
               .on_failed = [this](IncomingConnection* failed) { incoming_.erase(failed); }});
   incoming_.emplace(connection, connection);
--- a/src/rpc/peer_link.h
+++ b/src/rpc/peer_link.h
@@ -30,7 +30,7 @@
   void listen(const std::string& endpoint);
   void send(const std::string& node, const Message& message) override;
   void reset(const std::string& node) override;
-  void on_receive(Receive receive) override { receive_ = std::move(receive); }
+  void on_receive(MessageHandler handler) override { handler_ = std::move(handler); }
 
  private:
   struct Peer {
@@ -48,7 +48,7 @@
   std::map<std::string, Peer> peers_;
   std::unordered_map<IncomingConnection*, ConnectionPtr<IncomingConnection>> incoming_;
   uv_tcp_t* listener_;  // the loop frees it once it is closed
-  Receive receive_;
+  MessageHandler handler_;
 };
 
 }  // namespace seampass::rpc
--- a/src/state/protocol.cc
+++ b/src/state/protocol.cc
@@ -138,7 +138,7 @@
 ListResult decode_list(const Reply& reply) {
   return decode<ListResult>(reply, [](ListResult& result, const Json& json) {
     for (const Json& row : json.at("rows")) result.items.push_back(item_from(row));
-    result.more = wire::flag_field(json, "has_next");
+    result.has_more = wire::flag_field(json, "has_next");
     result.revision = wire::count_field(json, "ledger_rev");
   });
 }
--- a/src/state/protocol.h
+++ b/src/state/protocol.h
@@ -76,7 +76,7 @@
 struct ListResult {
   Outcome outcome = Outcome::unknown;
   std::vector<Item> items;  // in the order of their keys
-  bool more = false;        // true: further keys follow; list again after the last item
+  bool has_more = false;    // true: further keys follow; list again after the last item
   Version revision = 0;     // the store's revision when the page was read
 };
 
--- a/tests/fakes/sim_peers.h
+++ b/tests/fakes/sim_peers.h
@@ -30,7 +30,7 @@
   void send(const std::string& node, const rpc::Message& message) override {
     if (!net_.passes_between_peers(self_, node)) return;
     const rpc::PeerVersion version = production_.contains(self_) || production_.contains(node)
-                                         ? rpc::kVersionUnsaid
+                                         ? rpc::kVersionUnstated
                                          : rpc::kOwnVersion;
     net_.time().after(net_.latency(),
                       [&registry = registry_, from = self_, node, message, version] {
@@ -43,17 +43,17 @@
   static void deliver(const Registry& registry, const std::string& from, const std::string& node,
                       const rpc::Message& message, rpc::PeerVersion version = rpc::kOwnVersion) {
     const auto it = registry.find(node);
-    if (it != registry.end() && it->second->receive_)
-      it->second->receive_(from, {version, message});
+    if (it != registry.end() && it->second->handler_)
+      it->second->handler_(from, {version, message});
   }
-  void on_receive(rpc::Receive receive) override { receive_ = std::move(receive); }
+  void on_receive(rpc::MessageHandler handler) override { handler_ = std::move(handler); }
 
  private:
   SimNet& net_;
   Registry& registry_;
   std::string self_;
   const std::set<std::string>& production_;
-  rpc::Receive receive_;
+  rpc::MessageHandler handler_;
 };
 
 }  // namespace seampass::fakes
--- a/tests/formats_peers_test.cc
+++ b/tests/formats_peers_test.cc
@@ -74,12 +74,12 @@
       "00000500000042000000050000005a000000776b2d38383031007b226a6f62223a7b7d7d000000000000");
 }
 
-void expect_reply(rpc::Lookup lookup, wire::Stage stage, bool fresh, const std::string& hex) {
+void expect_reply(rpc::Lookup lookup, wire::Stage stage, bool created, const std::string& hex) {
   rpc::JobReply reply;
   reply.number = 0x0102030405060708;
   reply.lookup = lookup;
   reply.status = {"", stage, 77, 1ULL << 40};
-  reply.fresh = fresh;
+  reply.created = created;
   EXPECT_EQ(hex_from(rpc::encode(reply)), hex);
   const auto read = read_back<rpc::JobReply>(hex);
   EXPECT_EQ(read.number, reply.number);
@@ -87,7 +87,7 @@
   EXPECT_EQ(read.status.stage, stage);
   EXPECT_EQ(read.status.done, 77U);
   EXPECT_EQ(read.status.running, 1ULL << 40);
-  EXPECT_EQ(read.fresh, fresh);
+  EXPECT_EQ(read.created, created);
 }
 
 TEST(Formats, ReadsAndWritesAnswersOfEachVerdict) {
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -66,7 +66,7 @@
   ASSERT_EQ(found.items.size(), 1U);
   EXPECT_EQ(found.items[0].key, "open/wk-1");
   EXPECT_EQ(found.items[0].version, 5U);
-  EXPECT_TRUE(found.more);
+  EXPECT_TRUE(found.has_more);
   EXPECT_EQ(found.revision, 9U);
 }
 
--- a/tests/peer_compatibility_test.cc
+++ b/tests/peer_compatibility_test.cc
@@ -38,7 +38,7 @@
   const auto read_production_message = [](std::size_t i) {
     const std::string bytes = bytes_from(kProductionMessages.at(i));
     const rpc::Envelope envelope = rpc::decode(bytes);
-    EXPECT_EQ(envelope.version, rpc::kVersionUnsaid);
+    EXPECT_EQ(envelope.version, rpc::kVersionUnstated);
     return envelope.message;
   };
   const auto accepted = std::get<rpc::JobAccepted>(read_production_message(0));
