--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -62,7 +62,7 @@
                            node.handle(request, answer);
                          });
   try {
-    peers.listen(settings.back);
+    peers.listen(settings.peer_listen);
     server.listen(settings.listen);
   } catch (const std::exception& error) {
     spdlog::error("{}", error.what());
--- a/src/app/node.cc
+++ b/src/app/node.cc
@@ -36,7 +36,7 @@
 
 leader::RecordSpans record_spans(const config::Settings& settings) {
   return leader::RecordSpans::for_values(settings.state_limits.value_kb,
-                                         settings.least_state_limits().value_kb);
+                                         settings.min_state_limits().value_kb);
 }
 
 net::Ms request_timeout(const config::Settings& settings) {
--- a/src/app/resource_budget.cc
+++ b/src/app/resource_budget.cc
@@ -32,7 +32,7 @@
 
 ResourceBudget ResourceBudget::for_settings(const config::Settings& settings) {
   const auto sockets = static_cast<std::size_t>(settings.fd_limit);
-  const config::StateLimits limits = settings.least_state_limits();
+  const config::StateLimits limits = settings.min_state_limits();
   ResourceBudget budget;
   budget.idle_client_connections = sockets / kIdleClientDivisor;
   budget.commands_in_flight = sockets / kCommandDivisor;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -31,7 +31,7 @@
   settings.node = root.text("node");
   settings.zone = root.text("location");
   settings.listen = root.endpoint("listen");
-  settings.back = root.endpoint("back");
+  settings.peer_listen = root.endpoint("back");
   for (const TomlTable& peer : root.tables("known"))
     settings.peers.push_back({peer.text("node"), peer.text("location"), peer.endpoint("endpoint")});
   const TomlTable external = root.table("external");
@@ -43,7 +43,7 @@
   ServiceLevelObjective objective{table.text("kind"), "", 0, 1};
   if (table.has("class")) objective.job_class = table.text("class");
   if (table.has("within_s")) objective.within_s = table.number("within_s", 0);
-  if (table.has("times")) objective.times = table.number("times", 0);
+  if (table.has("times")) objective.deadline_factor = table.number("times", 0);
   return objective;
 }
 
@@ -103,7 +103,7 @@
   return it == teams.end() ? nullptr : &*it;
 }
 
-StateLimits Settings::least_state_limits() const {
+StateLimits Settings::min_state_limits() const {
   const StateLimits& now = state_limits;
   const StateLimits& next = next_state_limits;
   return {std::min(now.rps, next.rps), std::min(now.write_rps, next.write_rps),
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -35,7 +35,7 @@
 struct ServiceLevelObjective {
   std::string kind, job_class;
   double within_s = 0;
-  double times = 1;  // factor on a job's deadline
+  double deadline_factor = 1;  // factor on a job's deadline; `times` in the file
 };
 
 // The limits of the state service: requests per second (`rps`), changes per second (`write_rps`),
@@ -46,10 +46,10 @@
 };
 
 // The platform's settings. `listen` is the ADDRESS:PORT for the HTTP requests of users and workers,
-// `back` the one for the messages of peers. `cloud` and `state` are the endpoints of these
-// services.
+// `peer_listen` (`back` in the file) the one for the messages of peers. `cloud` and `state` are the
+// endpoints of these services.
 struct Settings {
-  std::string node, zone, listen, back;
+  std::string node, zone, listen, peer_listen;
   std::vector<Peer> peers;
   std::string cloud, state;
   std::vector<std::string> zones;
@@ -63,7 +63,7 @@
   StateLimits next_state_limits;
   // For each limit the smaller of its current and its next value. The limits may change without
   // notice, so the program stays within these: what it writes fits before and after the change.
-  StateLimits least_state_limits() const;
+  StateLimits min_state_limits() const;
   double cloud_rps = 0, list_lag_s = 0;
   double core_share = 1, memory_mb = 0;
   int fd_limit = 0;
--- a/src/jobs/job_admission.cc
+++ b/src/jobs/job_admission.cc
@@ -65,7 +65,7 @@
 // A job whose record the state service would refuse as too large can't be made durable, so it can't
 // be accepted.
 bool JobAdmission::storable(const wire::Json& record) const {
-  const double max_value_kb = settings_.least_state_limits().value_kb;
+  const double max_value_kb = settings_.min_state_limits().value_kb;
   return static_cast<double>(record.dump().size()) <= kMaxRecordShare * max_value_kb * kBytesPerKb;
 }
 
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -20,7 +20,7 @@
       attempt_tracker_(runtime),
       fleet_(runtime, cloud, catalog, settings, operator_settings,
              [this](Machine& machine) { on_machine_gone(machine); }),
-      records_(runtime, state, settings.least_state_limits(), record_store_hooks()),
+      records_(runtime, state, settings.min_state_limits(), record_store_hooks()),
       task_records_(jobs_, records_, cluster.spans()),
       dependency_tracker_(runtime, status_reader, net::ms(settings.heartbeat_interval_s / 10),
                           dependency_hooks()),
