--- a/src/leader/audit_log.cc
+++ b/src/leader/audit_log.cc
@@ -79,9 +79,9 @@
       return "done";
     case wire::ExitCause::stopped:
       return "stopped";
-    case wire::ExitCause::peers:
+    case wire::ExitCause::gang_task_lost:
       return "peers";
-    case wire::ExitCause::alone:
+    case wire::ExitCause::gang_timeout:
       return "alone";
     case wire::ExitCause::error:
       return "error";
--- a/src/leader/fleet/fleet.cc
+++ b/src/leader/fleet/fleet.cc
@@ -36,7 +36,7 @@
   cloud_.machines(after, term_.wrap([this](bool answered, const wire::MachinePage& page) {
     if (answered) {
       apply_list(page);
-      if (page.more && !page.machines.empty()) return poll_list(page.machines.back().name);
+      if (page.has_next_page && !page.machines.empty()) return poll_list(page.machines.back().name);
     }
     runtime_.after(net::ms(std::max(2 * settings_.list_lag_s, 4 / settings_.cloud_rps)),
                    term_.wrap([this] { poll_list(""); }));
--- a/src/leader/workers/heartbeat_reconciler.cc
+++ b/src/leader/workers/heartbeat_reconciler.cc
@@ -65,7 +65,8 @@
     hooks_.request_pass();
   }
   machine.preemption_at.reset();
-  if (report.notice_s) machine.preemption_at = context_.runtime.now() + net::ms(*report.notice_s);
+  if (report.preemption_notice_s)
+    machine.preemption_at = context_.runtime.now() + net::ms(*report.preemption_notice_s);
 }
 
 // Handles a reported task for which the leader has no attempt on this machine. If the job is in the
--- a/src/wire/cloud_codec.cc
+++ b/src/wire/cloud_codec.cc
@@ -71,7 +71,7 @@
 MachinePage machines_from(std::string_view text) {
   const Json object = parse_object(text);
   MachinePage page;
-  page.more = optional_field(object, "has_next", flag_field).value_or(false);
+  page.has_next_page = optional_field(object, "has_next", flag_field).value_or(false);
   for (const Json& machine : list_field(object, "hosts")) {
     require_object(machine, "hosts");
     page.machines.push_back(listed_machine_from(machine));
--- a/src/wire/json_fields.cc
+++ b/src/wire/json_fields.cc
@@ -83,7 +83,7 @@
   return value;
 }
 
-bool absent(const Json& object, const char* name) {
+bool missing_or_null(const Json& object, const char* name) {
   const auto found = object.find(name);
   return found == object.end() || found->is_null();
 }
--- a/src/wire/json_fields.h
+++ b/src/wire/json_fields.h
@@ -51,14 +51,14 @@
 [[nodiscard]] const Json& list_field(const Json& object, const char* name);
 
 // Whether the member is missing or null. Both mean that an optional member is not set.
-[[nodiscard]] bool absent(const Json& object, const char* name);
+[[nodiscard]] bool missing_or_null(const Json& object, const char* name);
 
 // Reads an optional member with `read`, one of the functions above. Returns nullopt if the member
-// is absent.
+// is missing or null.
 template <typename Value>
 [[nodiscard]] std::optional<Value> optional_field(const Json& object, const char* name,
                                                   Value (*read)(const Json&, const char*)) {
-  if (absent(object, name)) return std::nullopt;
+  if (missing_or_null(object, name)) return std::nullopt;
   return read(object, name);
 }
 
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -21,12 +21,22 @@
 // attempt waits for the other tasks of its gang. saving: the attempt has received a stop command
 // and writes a checkpoint.
 enum class TaskState { fetching, waiting, running, saving, exited };
-// Why an attempt exited. done: it completed. stopped: a command stopped it. peers: another task of
-// its gang is gone. alone: its gang was not complete in time. error: it failed. no_room, busy and
-// unknown: the worker refused to start it, because the machine has too little free capacity
-// (no_room), runs another attempt of the same task (busy) or cannot get the job's description
-// (unknown). none: it has not exited; this value is never sent.
-enum class ExitCause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+// Why an attempt exited. done: it completed. stopped: a command stopped it. gang_task_lost: another
+// task of its gang is gone. gang_timeout: its gang was not complete in time. error: it failed.
+// no_room, busy and unknown: the worker refused to start it, because the machine has too little
+// free capacity (no_room), runs another attempt of the same task (busy) or cannot get the job's
+// description (unknown). none: it has not exited; this value is never sent.
+enum class ExitCause {
+  none,
+  done,
+  stopped,
+  gang_task_lost,
+  gang_timeout,
+  error,
+  no_room,
+  busy,
+  unknown
+};
 // What a command asks the worker to do. start and stop: start or stop the attempt. forget: delete
 // the worker's record of an attempt that has exited.
 enum class Verb { start, stop, forget };
@@ -89,7 +99,7 @@
   std::uint64_t sequence = 0;     // increases with each heartbeat
   std::uint64_t token = 0;        // the highest epoch (fencing token) that the worker has seen
   // Preemption notice: the cloud will take the machine back after this time; nullopt: no notice.
-  std::optional<double> notice_s;
+  std::optional<double> preemption_notice_s;
   std::vector<TaskStatus> tasks;
 };
 
@@ -130,11 +140,11 @@
   double age_s = 0;  // time since the machine was rented
 };
 
-// One page of the cloud's machine list. If `more` is set, further pages follow; the next one starts
-// after the name of the last machine of this page.
+// One page of the cloud's machine list. If `has_next_page` is set, further pages follow; the next
+// one starts after the name of the last machine of this page.
 struct MachinePage {
   std::vector<ListedMachine> machines;
-  bool more = false;
+  bool has_next_page = false;
 };
 
 // A request to rent `count` machines of one type in one zone.
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -19,8 +19,8 @@
                                                    {TaskState::exited, "ended"}}};
 constexpr EnumNames<ExitCause, 8> kExitCauseNames{{{ExitCause::done, "done"},
                                                    {ExitCause::stopped, "halted"},
-                                                   {ExitCause::peers, "peers"},
-                                                   {ExitCause::alone, "alone"},
+                                                   {ExitCause::gang_task_lost, "peers"},
+                                                   {ExitCause::gang_timeout, "alone"},
                                                    {ExitCause::error, "error"},
                                                    {ExitCause::no_room, "full"},
                                                    {ExitCause::busy, "busy"},
@@ -79,7 +79,7 @@
   heartbeat.incarnation = count_field(object, "shift");
   heartbeat.sequence = count_field(object, "tally");
   heartbeat.token = count_field(object, "warrant");
-  heartbeat.notice_s = optional_field(object, "recall_s", amount_field);
+  heartbeat.preemption_notice_s = optional_field(object, "recall_s", amount_field);
   for (const Json& task : list_field(object, "pours")) {
     require_object(task, "pours");
     heartbeat.tasks.push_back(task_status_from(task));
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -206,7 +206,8 @@
     // All tasks of a gang finish at the same time. If one of them does not run, this task exits
     // with the cause `peers`.
     for (std::uint32_t i = 0; i < spec.tasks; ++i)
-      if (!checker_.running_on.contains({key.job, i})) return exit(key, wire::ExitCause::peers);
+      if (!checker_.running_on.contains({key.job, i}))
+        return exit(key, wire::ExitCause::gang_task_lost);
     for (std::uint32_t i = 0; i < spec.tasks; ++i) checker_.finished.insert({key.job, i});
   }
   checker_.finished.insert(key);
--- a/tests/formats_messages_test.cc
+++ b/tests/formats_messages_test.cc
@@ -49,7 +49,7 @@
   EXPECT_EQ(report.incarnation, 3U);
   EXPECT_EQ(report.sequence, 205U);
   EXPECT_EQ(report.token, 91U);
-  EXPECT_EQ(report.notice_s, 12.5);
+  EXPECT_EQ(report.preemption_notice_s, 12.5);
 }
 
 TEST(Formats, ReadsTheTasksOfAHeartbeat) {
@@ -71,10 +71,14 @@
 
 TEST(Formats, ReadsEachCauseOfAnExit) {
   using wire::ExitCause;
-  const std::vector<std::pair<std::string, ExitCause>> causes{
-      {"done", ExitCause::done},   {"halted", ExitCause::stopped}, {"peers", ExitCause::peers},
-      {"alone", ExitCause::alone}, {"error", ExitCause::error},    {"full", ExitCause::no_room},
-      {"busy", ExitCause::busy},   {"no_such", ExitCause::unknown}};
+  const std::vector<std::pair<std::string, ExitCause>> causes{{"done", ExitCause::done},
+                                                              {"halted", ExitCause::stopped},
+                                                              {"peers", ExitCause::gang_task_lost},
+                                                              {"alone", ExitCause::gang_timeout},
+                                                              {"error", ExitCause::error},
+                                                              {"full", ExitCause::no_room},
+                                                              {"busy", ExitCause::busy},
+                                                              {"no_such", ExitCause::unknown}};
   for (const auto& [word, cause] : causes) {
     wire::Json report = wire::Json::parse(kHeartbeat);
     report["pours"][4]["exit_cause"] = word;
@@ -87,7 +91,7 @@
     const wire::Heartbeat report = wire::heartbeat_from(
         std::string(R"({"host":"m-000052","addr":"10.9.8.6:9100","barrel":"t-small",)") + notice +
         R"("cellar":"zone-4","lent_racks":false,"shift":1,"tally":1,"warrant":0,"pours":[]})");
-    EXPECT_FALSE(report.notice_s) << notice;
+    EXPECT_FALSE(report.preemption_notice_s) << notice;
     EXPECT_FALSE(report.spot) << notice;
     EXPECT_TRUE(report.tasks.empty()) << notice;
   }
@@ -156,7 +160,7 @@
 "stage":"starting","age_s":0},{"ref":"m-000053","barrel":"t-small","cellar":"zone-4",
 "lent_racks":false,"stage":"failed","age_s":7}]})");
 
-  EXPECT_TRUE(page.more);
+  EXPECT_TRUE(page.has_next_page);
   ASSERT_EQ(page.machines.size(), 3U);
   EXPECT_EQ(page.machines[0].name, "m-000051");
   EXPECT_EQ(page.machines[0].addr, "10.9.8.7:9100");
@@ -172,8 +176,8 @@
 }
 
 TEST(Formats, ReadsWhetherTheCloudListsMore) {
-  EXPECT_FALSE(wire::machines_from(R"({"hosts":[],"has_next":false})").more);
-  EXPECT_FALSE(wire::machines_from(R"({"hosts":[]})").more);
+  EXPECT_FALSE(wire::machines_from(R"({"hosts":[],"has_next":false})").has_next_page);
+  EXPECT_FALSE(wire::machines_from(R"({"hosts":[]})").has_next_page);
 }
 
 }  // namespace
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -92,7 +92,7 @@
   EXPECT_EQ(heartbeat.machine, "m-000231");
   EXPECT_EQ(heartbeat.incarnation, 1u);
   EXPECT_EQ(heartbeat.sequence, 88u);
-  EXPECT_FALSE(heartbeat.notice_s);
+  EXPECT_FALSE(heartbeat.preemption_notice_s);
   ASSERT_EQ(heartbeat.tasks.size(), 2u);
   EXPECT_EQ(heartbeat.tasks[0].job, "wk-000412");
   EXPECT_EQ(heartbeat.tasks[0].index, 3u);
