--- a/tests/dependency_cancellation_test.cc
+++ b/tests/dependency_cancellation_test.cc
@@ -66,7 +66,7 @@
       cluster.time.run_for(5000);
       poll_all();
     }
-    cluster.state.come_back();
+    cluster.state.end_outage();
     if (kill_leader) cluster.start(old_leader);
     EXPECT_TRUE(cluster.reaches("wk-12", "withdrawn", 30000));
     cluster.time.run_for(20000);
--- a/tests/duplicate_delivery_test.cc
+++ b/tests/duplicate_delivery_test.cc
@@ -175,7 +175,7 @@
   }
   EXPECT_TRUE(cluster.checker.running_on.empty());  // the leases have expired
   cluster.net.set_peer_rule({});
-  cluster.state.come_back();
+  cluster.state.end_outage();
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 400000));
   cluster.expect_no_violations();
 }
--- a/tests/failover_test.cc
+++ b/tests/failover_test.cc
@@ -83,7 +83,7 @@
   const std::string old_leader = cluster.leader();
   cluster.net.set_rule([old_leader](const std::string& from, const net::Call& call) {
     Delivery delivery;
-    if (from == old_leader && is_to_store(call)) delivery.late = 60000;
+    if (from == old_leader && is_to_store(call)) delivery.delay_without_answer = 60000;
     return delivery;
   });
   cluster.separate_from_peers(old_leader);
--- a/tests/fakes/production_records.h
+++ b/tests/fakes/production_records.h
@@ -6,8 +6,8 @@
 
 namespace seampass::fakes {
 
-// Written by the version in production (its own test world, 8 KiB a value): an array of 140 tasks
-// under way, and a gang of which no start was sent yet.
+// The version in production wrote these records in its own simulation, with values of at most 8
+// KiB: an array of 140 tasks in progress, and a gang for which no start command was sent yet.
 inline const std::map<std::string, std::string> kProductionRecords{
     {"open/wk-1",
      R"({"created_ms":1700000000508,"job":{"accelerators":1.0,"apart":false,"barrels":null,"blend":"i","cellar":null,"cpus":4.0,"cuvee_class":"k","due_s":null,"expected_s":9.0,"lent_racks":true,"memory_gb":16.0,"owner_crew":"blue","pours":140,"pull_gb":1.0,"rack_every_s":0.0,"rack_s":0.0,"rank":"normal","ref":"wk-1","shape":"sweep","together":false}})"},
--- a/tests/fakes/sim_net.h
+++ b/tests/fakes/sim_net.h
@@ -24,7 +24,8 @@
   bool lose_answer = false;  // the request is executed, but its answer is lost
   bool drop = false;         // the request is lost: it is neither executed nor answered
   std::optional<Ms> delay;   // the request arrives after this time and is then answered
-  std::optional<Ms> late;    // the request arrives after this time, and its answer is lost
+  // The request arrives after this time and is executed, but its answer is lost.
+  std::optional<Ms> delay_without_answer;
   // The request arrives a second time, this long after it was sent. The second answer is lost.
   std::optional<Ms> repeat_after;
   std::optional<std::string> replaced_body;  // the answer gets this body instead of its own
@@ -95,8 +96,8 @@
       time_.after(*delivery.repeat_after, [this, call, generation] {
         serve_request(call, generation, [](const net::Response&) {});
       });
-    const bool answer_lost = delivery.lose_answer || delivery.late.has_value();
-    const Ms arrival = delivery.late.value_or(delivery.delay.value_or(latency()));
+    const bool answer_lost = delivery.lose_answer || delivery.delay_without_answer.has_value();
+    const Ms arrival = delivery.delay_without_answer.value_or(delivery.delay.value_or(latency()));
     time_.after(arrival, [this, call, generation, reply_once, answer_lost,
                           replaced_body = delivery.replaced_body] {
       serve_request(call, generation,
--- a/tests/fakes/state_service.cc
+++ b/tests/fakes/state_service.cc
@@ -35,8 +35,8 @@
 
 void StateService::handle(const net::Request& request, net::Answer answer) {
   expire_leases();
-  if (request_rate_.exceeded(limit, 1, time_.now())) {
-    ++refused;
+  if (request_rate_.exceeded(request_limit, 1, time_.now())) {
+    ++rate_limited;
     return answer({429, R"({"error":"too many requests"})", 0});
   }
   const auto query_start = request.path.find('?');
@@ -55,7 +55,7 @@
   answer({400, "{}", 0});
 }
 
-void StateService::come_back() {
+void StateService::end_outage() {
   down = false;
   for (auto& [id, lease] : leases_) extend(lease);
   notify_watchers();
@@ -117,7 +117,7 @@
     return {400, R"({"error":"too large"})", 0};
   }
   if (write_rate_.exceeded(write_limit, static_cast<double>(changes.size()), time_.now())) {
-    ++refused;
+    ++rate_limited;
     return {429, R"({"error":"too many changes"})", 0};
   }
   if (uses_expired_lease(changes)) return {400, R"({"error":"no such lease"})", 0};
--- a/tests/fakes/state_service.h
+++ b/tests/fakes/state_service.h
@@ -24,20 +24,20 @@
   bool down = false;
   // Limits, of which 0 means no limit. Requests above a rate are answered with 429, transactions
   // above a size with 400.
-  int limit = 0;                // maximum requests per second
+  int request_limit = 0;        // maximum requests per second
   int write_limit = 0;          // maximum changes per second
   std::size_t value_bytes = 0;  // maximum size of a value
   std::size_t txn_ops = 0;      // maximum number of changes in a transaction
 
   // Counters that tests read.
-  int writes = 0;     // changes made
-  int refused = 0;    // requests and transactions refused because of a rate limit
-  int too_large = 0;  // transactions refused because of a size limit
+  int writes = 0;        // changes made
+  int rate_limited = 0;  // requests and transactions refused because of a rate limit
+  int too_large = 0;     // transactions refused because of a size limit
 
   void handle(const net::Request& request, net::Answer answer);
 
   // Ends an outage (`down`). Every lease is extended by its full time to live.
-  void come_back();
+  void end_outage();
   [[nodiscard]] bool has(const std::string& key) const { return keys_.contains(key); }
   // The number of keys with this prefix.
   [[nodiscard]] std::size_t count(const std::string& prefix) const;
--- a/tests/fault_combinations_test.cc
+++ b/tests/fault_combinations_test.cc
@@ -83,7 +83,7 @@
   void deliver_stop_commands_again() { stop_commands_lost_ = false; }
   void end_faults() {
     leader_refused_ = false;
-    cluster_.state.come_back();
+    cluster_.state.end_outage();
   }
   void poll_all_nodes() {
     for (const char* id : kJobs)
@@ -102,7 +102,7 @@
       else if (writes_final_status(call) && GetParam().reply == Reply::lost)
         delivery.lose_answer = true;
       else if (writes_final_status(call) && GetParam().reply == Reply::late)
-        delivery.late = 1200;
+        delivery.delay_without_answer = 1200;
     }
     if (stop_commands_lost_ && from == leader_ && is_command(call)) delivery.drop = true;
     if (stop_commands_lost_ && is_heartbeat(call)) delivery.lose_answer = true;
@@ -203,7 +203,7 @@
     cluster.wait_for_election();
     cluster.state.down = true;
     cluster.time.run_for(75000);
-    cluster.state.come_back();
+    cluster.state.end_outage();
     cluster.start(old_leader);
     EXPECT_EQ(cluster.cancel_until_final(other_node, "wk-1", 60000).stage(), "withdrawn");
     EXPECT_EQ(cluster.running_tasks("wk-1"), 0);
@@ -258,7 +258,7 @@
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-900", 1, 40)));
   cluster.net.set_rule([](const std::string&, const net::Call& call) {
     Delivery delivery;
-    if (is_start_command(call)) delivery.late = 15000;
+    if (is_start_command(call)) delivery.delay_without_answer = 15000;
     return delivery;
   });
   cluster.submit("n0", array_job("wk-1", 1, 100));
--- a/tests/fault_tolerance_test.cc
+++ b/tests/fault_tolerance_test.cc
@@ -154,7 +154,7 @@
     if (i == 3) cluster.kill(cluster.leader());
     if (i == 5) cluster.separate_peers();
     if (i == 7) cluster.state.down = true;
-    if (i == 9) cluster.state.come_back();
+    if (i == 9) cluster.state.end_outage();
     for (const char* node : kNodes) {
       const auto job = array_job(id, 1 + static_cast<std::uint32_t>(i) % 3, 8);
       if (!cluster.submit(node, job).accepted()) continue;
@@ -259,7 +259,7 @@
     Delivery delivery;
     if (!is_command(call)) return delivery;
     ++commands;
-    if (commands % 3 == 0) delivery.late = 1500 + 2500 * (commands % 5);
+    if (commands % 3 == 0) delivery.delay_without_answer = 1500 + 2500 * (commands % 5);
     if (commands % 3 == 1) delivery.lose_answer = true;
     return delivery;
   });
--- a/tests/randomized_cluster_faults_test.cc
+++ b/tests/randomized_cluster_faults_test.cc
@@ -32,11 +32,12 @@
         delivery.repeat_after = pick_ms(40000);
         break;
       default:
-        delivery.late = pick_ms(30000);
+        delivery.delay_without_answer = pick_ms(30000);
     }
     // Heartbeats arrive at most 15 s late, since a worker ignores the answer to a heartbeat that is
     // later than that. All other requests may arrive up to 30 s late.
-    if (is_heartbeat(call) && delivery.late) delivery.late = std::min<Ms>(*delivery.late, 15000);
+    if (is_heartbeat(call) && delivery.delay_without_answer)
+      delivery.delay_without_answer = std::min<Ms>(*delivery.delay_without_answer, 15000);
     return delivery;
   }
 
@@ -45,14 +46,14 @@
     const std::string node = pick_node();
     perform_action(pick(9), node, "wk-" + std::to_string(1000 + step));
     cluster_.time.run_for(pick_ms(9000));
-    if (cluster_.state.down && pick(2) == 0) cluster_.state.come_back();
+    if (cluster_.state.down && pick(2) == 0) cluster_.state.end_outage();
     if (!killed_.empty() && pick(2) == 0) start_one_killed_node();
   }
 
   void end_faults() {
     fault_percent_ = 0;
     non_receiving_machine_.clear();
-    cluster_.state.come_back();
+    cluster_.state.end_outage();
     start_killed_nodes();
   }
 
--- a/tests/randomized_faults_test.cc
+++ b/tests/randomized_faults_test.cc
@@ -30,7 +30,7 @@
     perform_action(pick(18), node, new_id);
     if (!killed_.contains(node) && !accepted_.empty()) cluster_.poll(node, pick_job());
     cluster_.time.run_for(pick_ms(7000));
-    if (cluster_.state.down && pick(6) == 0) cluster_.state.come_back();
+    if (cluster_.state.down && pick(6) == 0) cluster_.state.end_outage();
     if (!node_refused_by_store_.empty() && pick(4) == 0) node_refused_by_store_.clear();
     if (!isolated_node_.empty() && pick(5) == 0) isolated_node_.clear();
     while (!killed_.empty() && pick(2) == 0) start_one_killed_node();
@@ -39,7 +39,7 @@
   void end_faults() {
     fault_percent_ = late_write_percent_ = late_heartbeat_percent_ = 0;
     non_receiving_machine_ = non_sending_machine_ = node_refused_by_store_ = isolated_node_ = "";
-    cluster_.state.come_back();
+    cluster_.state.end_outage();
     start_killed_nodes();
     faults_ended_at_ = cluster_.time.now();
   }
@@ -97,10 +97,10 @@
         delivery.drop || delivery.lose_answer || delivery.refuse || delivery.status != 0;
     if (has_lasting_fault) return delivery;
     if (is_transaction(call) && pick(100) < late_write_percent_)
-      delivery.late = 2000 + pick_ms(10000);
+      delivery.delay_without_answer = 2000 + pick_ms(10000);
     if (is_heartbeat(call) && pick(100) < late_heartbeat_percent_)
       delivery.repeat_after = 2000 + pick_ms(40000);
-    if (delivery.late || pick(100) >= fault_percent_) return delivery;
+    if (delivery.delay_without_answer || pick(100) >= fault_percent_) return delivery;
     switch (pick(4)) {
       case 0:
         delivery.refuse = true;
@@ -112,7 +112,7 @@
         delivery.repeat_after = pick_ms(40000);
         break;
       default:
-        delivery.late = pick_ms(is_heartbeat(call) ? 15000 : 30000);
+        delivery.delay_without_answer = pick_ms(is_heartbeat(call) ? 15000 : 30000);
     }
     return delivery;
   }
--- a/tests/record_store_test.cc
+++ b/tests/record_store_test.cc
@@ -78,7 +78,7 @@
   int txn_calls = 0, durable_count = 0;
   net.set_rule([&](const std::string&, const net::Call& call) {
     Delivery delivery;
-    if (call.path == "/txn" && txn_calls++ == 0) delivery.late = 20000;
+    if (call.path == "/txn" && txn_calls++ == 0) delivery.delay_without_answer = 20000;
     return delivery;
   });
   records.write("wk-1", chunk, state::Urgency::assignment, [&] { ++durable_count; });
--- a/tests/rolling_upgrade_test.cc
+++ b/tests/rolling_upgrade_test.cc
@@ -15,7 +15,7 @@
 // A controller of the production version cannot read segments, so task records stay in chunks until
 // every controller is upgraded. Only then does the leader write the key `cluster`, and segments.
 TEST_F(RollingUpgrade, SegmentsAreWrittenOnlyOnceAllNodesAreUpgraded) {
-  SimulatedCluster cluster(1, 6, kFalling, {"n0", "n1", "n2"});
+  SimulatedCluster cluster(1, 6, kFallingLimits, {"n0", "n1", "n2"});
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.submit("n0", wide_job("wk-1", 100, 100));
   ASSERT_TRUE(cluster.reaches("wk-1", "running", 30000));
@@ -44,7 +44,7 @@
 // cancelled jobs are open.
 TEST_F(RollingUpgrade, JobsSurviveLeadershipChangesBetweenVersions) {
   for (const unsigned seed : {1U, 2U, 3U}) {
-    SimulatedCluster cluster(seed, 6, kFalling, {"n0", "n1", "n2"});
+    SimulatedCluster cluster(seed, 6, kFallingLimits, {"n0", "n1", "n2"});
     ASSERT_TRUE(cluster.wait_for_leader());
     cluster.submit("n0", wide_job("wk-1", 60, 12));
     cluster.submit("n1", gang_job("wk-2", 2, 60));
@@ -71,8 +71,9 @@
 // write segments. The next leader recovers every task from the chunks and segments that it finds.
 TEST_F(RollingUpgrade, LeaderMayCrashAtAnyStepFromChunksToSegments) {
   for (int writes_before_crash = 1; writes_before_crash <= 5; ++writes_before_crash) {
-    SimulatedCluster cluster(1, 8, kLargeRecords, {"n2"});
-    ASSERT_TRUE(begin_array(cluster, 400, 40000));  // some tasks are done, some are running
+    SimulatedCluster cluster(1, 8, kFallingLimitsWithLargeRecords, {"n2"});
+    ASSERT_TRUE(
+        submit_and_run_array(cluster, 400, 40000));  // some tasks are done, some are running
     const std::string old_leader = cluster.leader();
     int segment_writes = 0;
     cluster.net.set_rule([&](const std::string& from, const net::Call& call) {
@@ -103,7 +104,7 @@
 // started again before these attempts are proven absent.
 TEST_F(RollingUpgrade, RecoversRecordsOfTheProductionVersion) {
   for (const bool segments_in_use : {false, true}) {
-    SimulatedCluster cluster(1, 10, kFalling, {"n0", "n1", "n2"});
+    SimulatedCluster cluster(1, 10, kFallingLimits, {"n0", "n1", "n2"});
     leave_production_records(cluster);
     if (segments_in_use) leave_segments_in_use(cluster);
     for (std::uint32_t task = 0; task < 128; ++task)
@@ -125,7 +126,7 @@
 // A former leader wrote a segment, but ended before it deleted the chunk that the segment replaces.
 // The next leader uses the segment, and does not wait for attempts that only the chunk names.
 TEST_F(RollingUpgrade, SegmentTakesPrecedenceOverChunk) {
-  SimulatedCluster cluster(1, 10, kFalling);
+  SimulatedCluster cluster(1, 10, kFallingLimits);
   leave_production_records(cluster);
   leave_segments_in_use(cluster);
   TaskRecord segment;
@@ -148,11 +149,11 @@
 // same.
 TEST_F(RollingUpgrade, JobsEndWhenLimitsFallAfterTheUpgrade) {
   for (const Ms delay : {0, 500, 3000, 15000}) {
-    SimulatedCluster cluster(1, 8, kLargeRecords, {"n2"});
-    ASSERT_TRUE(begin_array(cluster, 400, 20000));
+    SimulatedCluster cluster(1, 8, kFallingLimitsWithLargeRecords, {"n2"});
+    ASSERT_TRUE(submit_and_run_array(cluster, 400, 20000));
     cluster.upgrade("n2");
     cluster.time.run_for(delay);
-    cluster.apply_limits(kLargeRecords.next);
+    cluster.apply_limits(kFallingLimitsWithLargeRecords.next);
     const std::string leader_before = cluster.leader();
     cluster.submit("n1", wide_job("wk-2", 60, 10));
     cluster.submit("n1", gang_job("wk-3", 2, 10));
@@ -174,14 +175,14 @@
 // while the next leader is being elected or recovers, and large chunks still exist.
 TEST_F(RollingUpgrade, JobsEndWhenLimitsFallDuringElectionOrRecovery) {
   for (const Ms delay : {100, 2500, 4500, 6000}) {
-    SimulatedCluster cluster(1, 8, kLargeRecords, {"n2"});
-    ASSERT_TRUE(begin_array(cluster, 200, 20000));
+    SimulatedCluster cluster(1, 8, kFallingLimitsWithLargeRecords, {"n2"});
+    ASSERT_TRUE(submit_and_run_array(cluster, 200, 20000));
     cluster.upgrade("n2");
     cluster.time.run_for(300);
     const std::string old_leader = cluster.leader();
     if (!old_leader.empty()) cluster.kill(old_leader);
     cluster.time.run_for(delay);
-    cluster.apply_limits(kLargeRecords.next);
+    cluster.apply_limits(kFallingLimitsWithLargeRecords.next);
     cluster.time.run_for(8000);
     if (!old_leader.empty()) cluster.start(old_leader);
     EXPECT_TRUE(cluster.submit_until_accepted("n1", wide_job("wk-2", 60, 10)));
@@ -195,11 +196,11 @@
 // service fall only once all controllers are upgraded. The leader therefore finalizes the cluster
 // version when the state service refuses a value as too large, and continues with segments.
 TEST_F(RollingUpgrade, TooLargeValueFinalizesTheClusterVersion) {
-  SimulatedCluster cluster(1, 8, kLargeRecords);
+  SimulatedCluster cluster(1, 8, kFallingLimitsWithLargeRecords);
   cluster.kill("n2");
-  ASSERT_TRUE(begin_array(cluster, 400, 20000));
+  ASSERT_TRUE(submit_and_run_array(cluster, 400, 20000));
   EXPECT_FALSE(cluster.state.has("cluster"));
-  cluster.apply_limits(kLargeRecords.next);
+  cluster.apply_limits(kFallingLimitsWithLargeRecords.next);
   cluster.submit("n1", wide_job("wk-2", 60, 10));
   EXPECT_TRUE(cluster.reaches("wk-2", "done", 200000));
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 600000));
@@ -211,7 +212,7 @@
 // dependencies. The leader therefore finalizes the cluster version (key `cluster`) when a user
 // submits a job that has some.
 TEST_F(RollingUpgrade, SubmittedDependencyFinalizesTheClusterVersion) {
-  SimulatedCluster cluster(1, 4, kFalling);
+  SimulatedCluster cluster(1, 4, kFallingLimits);
   cluster.kill("n2");
   ASSERT_TRUE(cluster.wait_for_leader());
   cluster.submit("n0", array_job("wk-1", 2, 5));
--- a/tests/sim_net_test.cc
+++ b/tests/sim_net_test.cc
@@ -62,7 +62,7 @@
 
 TEST_F(SimNetTest, RequestThatArrivesAfterItsTimeoutIsExecutedAndItsOutcomeIsUnknown) {
   Delivery delivery;
-  delivery.late = 2 * kTimeout;
+  delivery.delay_without_answer = 2 * kTimeout;
   send(delivery);
   EXPECT_EQ(executed_, 1);
   ASSERT_EQ(replies_.size(), 1u);
--- a/tests/store_faults_test.cc
+++ b/tests/store_faults_test.cc
@@ -16,7 +16,7 @@
   cluster.state.down = true;
   cluster.time.run_for(15000);
   EXPECT_EQ(cluster.poll(cluster.follower(), "wk-1").status, 503);
-  cluster.state.come_back();
+  cluster.state.end_outage();
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 120000));
   cluster.expect_no_task_started_twice();
   cluster.expect_no_violations();
@@ -28,7 +28,7 @@
   ASSERT_TRUE(cluster.submit_and_run(array_job("wk-1", 6, 100)));
   cluster.state.down = true;
   cluster.time.run_for(70000);  // far longer than lease_s and cancel_s
-  cluster.state.come_back();
+  cluster.state.end_outage();
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 120000));
   cluster.expect_no_task_started_twice();
   cluster.expect_no_violations();
@@ -49,7 +49,7 @@
   cluster.start(restarted_node);
   cluster.time.run_for(60000);
   EXPECT_TRUE(cluster.checker.running_on.empty());
-  cluster.state.come_back();
+  cluster.state.end_outage();
   EXPECT_TRUE(cluster.reaches("wk-1", "done", 300000));
   cluster.expect_no_violations();
 }
@@ -81,7 +81,7 @@
     if (!is_transaction(call)) return delivery;
     ++transactions;
     if (transactions % 4 == 0) delivery.lose_answer = true;
-    if (transactions % 4 == 2) delivery.late = 3000;
+    if (transactions % 4 == 2) delivery.delay_without_answer = 3000;
     return delivery;
   });
   for (int i = 0; i < 5; ++i) {
@@ -153,11 +153,11 @@
   ASSERT_TRUE(cluster.wait_for_leader());
   for (int i = 0; i < 40; ++i)
     cluster.submit(cluster.follower(), array_job("wk-" + std::to_string(100 + i), 1, 30));
-  cluster.state.limit = static_cast<int>(settings_for("n0").state_limits.rps);
+  cluster.state.request_limit = static_cast<int>(settings_for("n0").state_limits.rps);
   const std::string former_leader = cluster.leader();
   cluster.kill(former_leader);
   cluster.time.run_for(1000);
-  const int refused_before = cluster.state.refused;
+  const int rate_limited_before = cluster.state.rate_limited;
 
   PollStorm storm(cluster, former_leader);
   int submitted = 0;
@@ -174,7 +174,7 @@
   EXPECT_LT(submitted, 100);  // a leader is elected despite the load
   cluster.time.run_for(5000);
   EXPECT_EQ(storm.answered(), storm.sent());
-  EXPECT_LT((cluster.state.refused - refused_before) * 20, storm.sent());
+  EXPECT_LT((cluster.state.rate_limited - rate_limited_before) * 20, storm.sent());
   cluster.expect_no_violations();
 }
 
