--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -157,7 +157,7 @@
 // A new small gang is submitted as often as a small gang ends, while two large gangs wait that need
 // most or all of the zone's machines. Guards against small gangs that take each machine as it
 // becomes free, so that a large gang never starts.
-TEST(Cluster, DoesNotStarveLargeGangsBySmallOnes) {
+TEST(Cluster, SmallGangsDoNotStarveLargeGangs) {
   SimulatedCluster cluster(1, 0);
   cluster.cloud.capacity = 4;
   for (int i = 0; i < 4; ++i) cluster.cloud.boot({"big", "a", false}, 10);
--- a/tests/formats_answers_test.cc
+++ b/tests/formats_answers_test.cc
@@ -66,7 +66,7 @@
 
 wire::Job single_task() { return array_job("wk-8801", 1); }
 
-TEST(Formats, AnswersAcceptancesPollsAndCancellationsAsBefore) {
+TEST(Formats, AnswersToSubmissionsPollsAndCancellationsAreUnchanged) {
   LoneNode lone;
   lone.lead();
 
@@ -82,7 +82,7 @@
   expect_response(lone.submit(single_task()), 200, R"({"ref":"wk-8801","stage":"withdrawn"})");
 }
 
-TEST(Formats, AnswersWhatIsNotThereAsBefore) {
+TEST(Formats, AnswersForUnknownPathsAndJobsAreUnchanged) {
   LoneNode lone;
   lone.lead();
   const std::string no_path = R"({"error":"no such path"})";
@@ -95,7 +95,7 @@
   expect_response(lone.ask("POST", "/api/jobs/wk-8801/abort"), 404, no_job);
 }
 
-TEST(Formats, AnswersWrongMethodsAsBefore) {
+TEST(Formats, AnswersToWrongMethodsAreUnchanged) {
   LoneNode lone;
   const std::string refusal = R"({"error":"method not allowed"})";
 
@@ -106,7 +106,7 @@
   expect_response(lone.ask("POST", "/up"), 405, refusal);
 }
 
-TEST(Formats, AnswersMalformedRequestsAsBefore) {
+TEST(Formats, AnswersToMalformedRequestsAreUnchanged) {
   LoneNode lone;
   lone.lead();
 
@@ -116,7 +116,7 @@
   expect_response(lone.ask("POST", "/checkin", "{}"), 400, R"({"error":"host: missing"})");
 }
 
-TEST(Formats, AnswersJobsThatCanNeverRunAsBefore) {
+TEST(Formats, AnswersToJobsThatCanNeverRunAreUnchanged) {
   LoneNode lone;
   lone.lead();
   const auto expect_refusal = [&](const wire::Job& job, const std::string& reason) {
@@ -138,7 +138,7 @@
   expect_refusal(job, "too large to be stored");
 }
 
-TEST(Formats, AnswersImpossibleDependenciesAsBefore) {
+TEST(Formats, AnswersToImpossibleDependenciesAreUnchanged) {
   LoneNode lone;
   lone.lead();
   wire::Job job = single_task();
@@ -150,7 +150,7 @@
                   R"({"error":"it depends on a job that was never accepted"})");
 }
 
-TEST(Formats, AsksToComeAgainAsBeforeWhileItStarts) {
+TEST(Formats, RetryAnswersDuringStartupAreUnchanged) {
   LoneNode lone;
 
   expect_response(lone.ask("GET", "/up"), 503, R"({"error":"starting"})", 1);
@@ -159,7 +159,7 @@
                   R"({"error":"no leader can answer"})", 1);
 }
 
-TEST(Formats, AsksToComeAgainAsBeforeWhileTheStateServiceIsDown) {
+TEST(Formats, RetryAnswersWhileTheStateServiceIsDownAreUnchanged) {
   LoneNode lone;
   lone.lead();
   lone.state.down = true;
@@ -179,7 +179,7 @@
 
 // `warrant` is the leader's epoch: the version of the record `leader` in the state service. It is 1
 // because that record is the first one written there.
-TEST(Formats, AnswersHeartbeatsAsBeforeWhenItLeads) {
+TEST(Formats, LeadersAnswersToHeartbeatsAreUnchanged) {
   LoneNode lone;
   lone.lead();
 
@@ -187,7 +187,7 @@
   expect_response(lone.ask("POST", "/checkin", kHeartbeat), 503, "{}");  // a duplicate
 }
 
-TEST(Formats, AnswersHeartbeatsAsBeforeWhenAnotherLeads) {
+TEST(Formats, FollowersAnswersToHeartbeatsAreUnchanged) {
   LoneNode lone;
   expect_response(lone.ask("POST", "/checkin", kHeartbeat), 421, "{}");
   lone.state.handle({"POST", "/txn", R"({"if":[],"apply":[{"write":"leader","v":{"node":"n2"}}]})"},
@@ -239,7 +239,7 @@
                   "GET /up HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n\r\n");
 }
 
-TEST(Formats, SendsAnswersOverHttpAsBefore) {
+TEST(Formats, BytesOfHttpResponsesAreUnchanged) {
   EXPECT_EQ(sent_over_http({503, R"({"error":"busy"})", 1}),
             "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
             "Content-Length: 16\r\nRetry-After: 1\r\nConnection: close\r\n\r\n"
--- a/tests/formats_check_test.cc
+++ b/tests/formats_check_test.cc
@@ -45,13 +45,13 @@
   unlink(file.c_str());
 }
 
-TEST(Formats, ChecksSettingsAsBeforeWhenTheFileIsMissing) {
+TEST(Formats, CheckOfAMissingSettingsFileIsUnchanged) {
   const Outcome outcome = check("/nonexistent.toml");
   EXPECT_EQ(outcome.exit_status, 2);
   EXPECT_EQ(outcome.output, "seampass: /nonexistent.toml: File could not be opened for reading\n");
 }
 
-TEST(Formats, ChecksSettingsAsBeforeWhenTheyAreBad) {
+TEST(Formats, CheckOfInvalidSettingsIsUnchanged) {
   expect_rejected("[self\n", R"(line 1: Error while parsing table header: expected ']', saw '\n')");
   expect_rejected("", "node: must be a non-empty string");
   expect_rejected("node = 3\n", "node: must be a non-empty string");
--- a/tests/formats_messages_test.cc
+++ b/tests/formats_messages_test.cc
@@ -10,7 +10,7 @@
 namespace seampass {
 namespace {
 
-TEST(Formats, TellsUsersTheStatusOfAJobAsBefore) {
+TEST(Formats, JobStatusAnswersAreUnchanged) {
   using wire::Stage;
   EXPECT_EQ(wire::status_answer({"wk-8801", Stage::queued, 0, 0}),
             R"({"done":0,"ref":"wk-8801","running":0,"stage":"queued"})");
@@ -22,7 +22,7 @@
             R"({"done":5,"ref":"wk-8801","running":0,"stage":"withdrawn"})");
 }
 
-TEST(Formats, TellsUsersOfAnAcceptanceAsBefore) {
+TEST(Formats, AcceptanceAnswersAreUnchanged) {
   EXPECT_EQ(wire::accepted_answer({"wk-8801", wire::Stage::queued, 4, 3}),
             R"({"ref":"wk-8801","stage":"queued"})");
   EXPECT_EQ(wire::accepted_answer({"wk-8801", wire::Stage::cancelled, 4, 3}),
@@ -69,7 +69,7 @@
   }
 }
 
-TEST(Formats, ReadsEachCauseOfAnExit) {
+TEST(Formats, ReadsEachExitCause) {
   using wire::ExitCause;
   const std::vector<std::pair<std::string, ExitCause>> causes{{"done", ExitCause::done},
                                                               {"halted", ExitCause::stopped},
@@ -101,20 +101,20 @@
                                            {wire::Verb::stop, "wk-8802", 0, 7, 12.5},
                                            {wire::Verb::forget, "wk-8803", 99999, 1, 0}};
 
-TEST(Formats, AnswersHeartbeatsAsBefore) {
+TEST(Formats, HeartbeatAnswersAreUnchanged) {
   EXPECT_EQ(
       wire::heartbeat_answer(91, kCommands),
       R"({"orders":[{"pour":"wk-8801/4","try":2,"verb":"run"},{"pour":"wk-8802/0","try":7,"verb":"halt","wind_down_s":12.5},{"pour":"wk-8803/99999","try":1,"verb":"reap"}],"warrant":91})");
   EXPECT_EQ(wire::heartbeat_answer(91, {}), R"({"orders":[],"warrant":91})");
 }
 
-TEST(Formats, SendsCommandsAsBefore) {
+TEST(Formats, CommandRequestIsUnchanged) {
   EXPECT_EQ(
       wire::commands_body(91, 3, kCommands),
       R"({"orders":[{"pour":"wk-8801/4","try":2,"verb":"run"},{"pour":"wk-8802/0","try":7,"verb":"halt","wind_down_s":12.5},{"pour":"wk-8803/99999","try":1,"verb":"reap"}],"shift":3,"warrant":91})");
 }
 
-TEST(Formats, SendsWorkersToTheLeaderAsBefore) {
+TEST(Formats, RedirectAnswersToWorkersAreUnchanged) {
   EXPECT_EQ(wire::redirect_answer("node-2"), R"({"steward":"node-2"})");
   EXPECT_EQ(wire::redirect_answer(""), "{}");
 }
@@ -142,7 +142,7 @@
   EXPECT_EQ(types[1].spot_price, 0.5);
 }
 
-TEST(Formats, AsksTheCloudForMachinesAsBefore) {
+TEST(Formats, RentalAndDeletionRequestsAreUnchanged) {
   EXPECT_EQ(
       wire::rental_body({"n1-17", "t-large", "zone-3", true, 5}),
       R"({"barrel":"t-large","cellar":"zone-3","count":5,"hire_ask":"n1-17","lent_racks":true})");
@@ -175,7 +175,7 @@
   EXPECT_EQ(page.machines[1].addr, "");
 }
 
-TEST(Formats, ReadsWhetherTheCloudListsMore) {
+TEST(Formats, ReadsWhetherTheMachineListHasANextPage) {
   EXPECT_FALSE(wire::machines_from(R"({"hosts":[],"has_next":false})").has_next_page);
   EXPECT_FALSE(wire::machines_from(R"({"hosts":[]})").has_next_page);
 }
--- a/tests/formats_peers_test.cc
+++ b/tests/formats_peers_test.cc
@@ -38,7 +38,7 @@
   return std::get<MessageType>(envelope.message);
 }
 
-TEST(Formats, ReadsAndWritesTheNewsOfAnAcceptance) {
+TEST(Formats, ReadsAndWritesJobAccepted) {
   const rpc::JobAccepted written{"wk-8801", R"({"job":{}})", 0x1122334455667788};
   const std::string hex =
       "00000000090000000000000001000100000001000000000000000000010002008877665544332211050000004200"
@@ -59,7 +59,7 @@
   EXPECT_EQ(read.record, request.record);
 }
 
-TEST(Formats, ReadsAndWritesAPollASubmissionAndACancellation) {
+TEST(Formats, ReadsAndWritesJobRequests) {
   expect_request(
       {0x0102030405060708, "wk-8801", false, ""},
       "0000000009000000000000000100010001000100000000000000000002000200080706050403020100000"
@@ -90,7 +90,7 @@
   EXPECT_EQ(read.created, created);
 }
 
-TEST(Formats, ReadsAndWritesAnswersOfEachVerdict) {
+TEST(Formats, ReadsAndWritesJobRepliesOfEachLookup) {
   expect_reply(rpc::Lookup::unavailable, wire::Stage::queued, false,
                "0000000007000000000000000100010002000100000000000000000004000000080706050403020100"
                "000000000000004d000000000000000000000000010000");
@@ -105,7 +105,7 @@
                "000000000000004d000000000000000000000000010000");
 }
 
-TEST(Formats, ReadsAndWritesAnswersOfEachStage) {
+TEST(Formats, ReadsAndWritesJobRepliesOfEachStage) {
   expect_reply(rpc::Lookup::found, wire::Stage::running, false,
                "0000000007000000000000000100010002000100000000000000000004000000080706050403020101"
                "000100000000004d000000000000000000000000010000");
@@ -124,7 +124,7 @@
   EXPECT_EQ(read.round, announcement.round);
 }
 
-TEST(Formats, ReadsAndWritesWhoLeads) {
+TEST(Formats, ReadsAndWritesLeaderAnnouncements) {
   expect_announcement(
       {0x2a2b, 0},
       "00000000050000000000000001000100030001000000000000000000020000002b2a000000000000000"
@@ -139,7 +139,7 @@
       "fffffffffffff");
 }
 
-TEST(Formats, ReadsAndWritesTheWordOnALeader) {
+TEST(Formats, ReadsAndWritesEpochConfirmations) {
   const std::string hex =
       "00000000060000000000000001000100040001000000000000000000030000003c000000000000002b2a00000000"
       "0000005c260500000000";
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -40,7 +40,7 @@
   }
 };
 
-TEST(Formats, ReadsAKeyAsBefore) {
+TEST(Formats, RequestToReadAKeyIsUnchanged) {
   RecordedStateClient state;
   state::GetResult found;
   state.answer(200, R"({"path":"open/wk-8801","v":{"a":1},"stamp":17,"permit":4})");
@@ -53,7 +53,7 @@
   EXPECT_EQ(found.item.lease, 4U);
 }
 
-TEST(Formats, ListsKeysAsBefore) {
+TEST(Formats, RequestsToListKeysAreUnchanged) {
   RecordedStateClient state;
   state::ListResult found;
   state.answer(200,
@@ -70,7 +70,7 @@
   EXPECT_EQ(found.revision, 9U);
 }
 
-TEST(Formats, WritesTransactionsAsBefore) {
+TEST(Formats, TransactionRequestIsUnchanged) {
   RecordedStateClient state;
   state::TxnResult result;
   state::Txn txn;
@@ -90,7 +90,7 @@
   EXPECT_EQ(result.revision, 12U);
 }
 
-TEST(Formats, WatchesKeysAsBefore) {
+TEST(Formats, WatchRequestIsUnchanged) {
   RecordedStateClient state;
   state::WatchResult result;
   state.answer(
@@ -109,7 +109,7 @@
   EXPECT_EQ(result.events[1].version, 14U);
 }
 
-TEST(Formats, HandlesLeasesAsBefore) {
+TEST(Formats, LeaseRequestsAreUnchanged) {
   RecordedStateClient state;
   state::LeaseResult granted;
   state.answer(200, R"({"permit":6})");
@@ -122,7 +122,7 @@
   EXPECT_EQ(granted.lease, 6U);
 }
 
-TEST(Formats, RequestsOfTheCloudAreAsBefore) {
+TEST(Formats, RequestsToTheCloudAreUnchanged) {
   SimTime time;
   RecordingCaller http;
   cloud::Client client(time, http, "cloud:1", 100, 1000);
@@ -141,7 +141,7 @@
           "cloud:1 GET /rentals?most=500 ", "cloud:1 GET /rentals?most=500&since=m-000051 "}));
 }
 
-TEST(Formats, KnowsThatTheCloudHasNoCapacity) {
+TEST(Formats, DistinguishesNoCapacityFromOtherCloudErrors) {
   const auto rented = [](const char* body) {
     SimTime time;
     RecordingCaller http;
@@ -155,7 +155,7 @@
   EXPECT_EQ(rented(R"({"error":"trouble"})"), cloud::Rented::trouble);
 }
 
-TEST(Formats, RequestsOfWorkersAreAsBefore) {
+TEST(Formats, RequestsToWorkersAreUnchanged) {
   RecordingCaller http;
   workers::Client client(http, 1000, 10);
   client.send("10.9.8.7:9100", 91, 3, {{wire::Verb::forget, "wk-8803", 5, 1, 0}},
