--- a/src/jobs/api_handler.cc
+++ b/src/jobs/api_handler.cc
@@ -86,11 +86,11 @@
 // The health check fails until the machine types are known: without them this node can't
 // decide on any submission.
 void ApiHandler::answer_health(const Answer& answer) const {
-  answer(catalog_.known() ? net::Response{200, "{}"} : unavailable("starting"));
+  answer(catalog_.loaded() ? net::Response{200, "{}"} : unavailable("starting"));
 }
 
 void ApiHandler::handle_heartbeat(const std::string& body, const Answer& answer) {
-  election_.on_worker_heard();
+  election_.on_heartbeat_received();
   if (!election_.leading()) return answer({421, wire::redirect_answer(election_.leader()), 0});
   try {
     const wire::Heartbeat heartbeat = wire::heartbeat_from(body);
--- a/src/leader/fleet/fleet.h
+++ b/src/leader/fleet/fleet.h
@@ -21,7 +21,7 @@
 #include "leader/fleet/zone_monitor.h"
 #include "net/callback_scope.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
@@ -41,13 +41,15 @@
   Machine& ensure(const std::string& name) { return inventory_.ensure(name); }
   [[nodiscard]] MachineInventory::Map& machines() { return inventory_.machines(); }
   [[nodiscard]] const MachineInventory::Map& machines() const { return inventory_.machines(); }
-  [[nodiscard]] bool deleted(const std::string& name) const { return inventory_.deleted(name); }
+  [[nodiscard]] bool is_deleted(const std::string& name) const {
+    return inventory_.is_deleted(name);
+  }
   [[nodiscard]] bool is_overdue(const Machine& machine) const {
     return inventory_.is_overdue(machine);
   }
 
   // Returns machines to the cloud: see MachineReclaimer.
-  void remove(Machine& machine) { reclaimer_.remove(machine); }
+  void request_deletion(Machine& machine) { reclaimer_.request_deletion(machine); }
   void reclaim_unwanted(const std::set<std::string>& reserved) {
     reclaimer_.reclaim_unwanted(reserved);
   }
--- a/src/leader/fleet/scale_out.h
+++ b/src/leader/fleet/scale_out.h
@@ -16,7 +16,7 @@
 #include "leader/fleet/zone_monitor.h"
 #include "net/callback_scope.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 
 namespace seampass::leader {
 
@@ -45,7 +45,7 @@
   [[nodiscard]] const std::map<std::string, PendingScaleOut>& pending() const { return pending_; }
 
  private:
-  void on_answer(const wire::Rental& rental, cloud::Rented result,
+  void on_answer(const wire::Rental& rental, cloud::RentalResult result,
                  const std::vector<std::string>& names);
 
   net::Runtime& runtime_;
--- a/src/leader/jobs/job_lifecycle.cc
+++ b/src/leader/jobs/job_lifecycle.cc
@@ -30,7 +30,7 @@
   // ends/<id> and so finds the final status. The check asks for a written status, since a job that
   // depends on a cancelled job may be in the cache as cancelled before its own final status is
   // written.
-  if (parts_.status_reader.written(id)) return;
+  if (parts_.status_reader.known_written(id)) return;
   JobRecord job;
   try {
     OpenRecord open = decode_open_record(record);
@@ -52,7 +52,7 @@
   if (!added.spec.dependencies.empty()) parts_.cluster.finalize();
   parts_.dependencies.add(added.spec);
   if (parts_.dependencies.graph().ready(id)) hooks_.record_arrival(added);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // ---- Dependencies ----
@@ -60,10 +60,10 @@
 void JobLifecycle::on_ready(const std::string& id, const std::string& last_dependency) const {
   JobRecord* job = parts_.jobs.find(id);
   if (!job) return;
-  job->ready_ms = context_.runtime.wall();
+  job->ready_ms = context_.runtime.unix_time_ms();
   audit::ready(id, last_dependency);
   hooks_.record_arrival(*job);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // A job whose dependencies are not all done has no attempts, so there is nothing to stop. It counts
@@ -98,7 +98,7 @@
 }
 
 void JobLifecycle::conclude_if_complete(JobRecord& job) {
-  if (!job.final_status_written() && job.all_finished()) conclude(job);
+  if (!job.final_status_decided() && job.all_finished()) conclude(job);
 }
 
 void JobLifecycle::conclude(JobRecord& job) {
@@ -111,10 +111,10 @@
   const Urgency urgency = upstream_cancelled(job) ? Urgency::progress : Urgency::final_status;
   parts_.records.write_final_status(
       id, job.open_version, stage, job.finished_count, urgency,
-      [this, id](wire::Stage stored_stage) { on_ended(id, stored_stage); });
+      [this, id](wire::Stage stored_stage) { on_final_status_durable(id, stored_stage); });
 }
 
-void JobLifecycle::on_ended(const std::string& id, wire::Stage stage) {
+void JobLifecycle::on_final_status_durable(const std::string& id, wire::Stage stage) {
   JobRecord* job = parts_.jobs.find(id);
   if (!job) return;
   job->advance_to(Lifecycle::ended);
@@ -128,7 +128,7 @@
   // could find a dependent running although it does not know that the dependency is done, or find a
   // dependent queued although the dependency is cancelled.
   parts_.dependencies.on_final_status(id, stage);
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // A cancelled job ends once every attempt is proven absent. An ended job stays in the table until
@@ -136,11 +136,11 @@
 void JobLifecycle::erase_if_settled(const std::string& id) {
   JobRecord* job = parts_.jobs.find(id);
   // An unreadable task record may contain attempts that are running.
-  if (!job || !job->attempts.empty() || job->unreadable) return;
+  if (!job || !job->attempts.empty() || job->has_unreadable_record) return;
   if (job->lifecycle() == Lifecycle::stopping) conclude(*job);
   if (!job->ended()) return;
   const auto erase = [this, id] {
-    if (!parts_.jobs.contains(id) || !parts_.records.settled(id)) return;
+    if (!parts_.jobs.contains(id) || !parts_.records.no_task_records_left(id)) return;
     parts_.records.forget(id);
     parts_.jobs.erase(id);
   };
@@ -156,11 +156,11 @@
   reply.lookup = rpc::Lookup::found;
   reply.status.id = job.spec.id;
   reply.status.done = job.finished_count;
-  reply.status.running = job.ended() ? 0 : job.running;
-  reply.status.stage = job.ended()               ? job.stage
-                       : upstream_cancelled(job) ? wire::Stage::cancelled
-                       : job.running > 0         ? wire::Stage::running
-                                                 : wire::Stage::queued;
+  reply.status.running = job.ended() ? 0 : job.running_attempts;
+  reply.status.stage = job.ended()                ? job.stage
+                       : upstream_cancelled(job)  ? wire::Stage::cancelled
+                       : job.running_attempts > 0 ? wire::Stage::running
+                                                  : wire::Stage::queued;
   return reply;
 }
 
--- a/src/leader/jobs/job_record.h
+++ b/src/leader/jobs/job_record.h
@@ -34,16 +34,16 @@
   Machine* machine = nullptr;
   std::uint64_t incarnation = 0;
   bool durable = false;  // the task record that contains the attempt is durable: it may be started
-  bool sent = false;     // a start may have reached the worker
-  bool seen = false;     // a report of the worker has listed the attempt
-  bool missing = false;  // a report did not list it; its absence is not proven yet
-  int in_flight = 0;     // starts sent to /commands whose outcome is not known yet
+  bool start_sent = false;   // a start may have reached the worker
+  bool reported = false;     // a report of the worker has listed the attempt
+  bool missing = false;      // a report did not list it; its absence is not proven yet
+  int starts_in_flight = 0;  // starts sent to /commands whose outcome is not known yet
   net::Ms start_sent_at = 0;
   wire::TaskState state = wire::TaskState::fetching;
   net::Ms running_since = 0;
-  bool stop = false;  // the attempt is to be stopped
+  bool stop_requested = false;  // the attempt is to be stopped
   double termination_grace_s = 0;
-  net::Ms stop_since = 0;
+  net::Ms stop_requested_at = 0;
 
   [[nodiscard]] AttemptId id() const;
 };
@@ -72,7 +72,7 @@
   std::uint32_t finished_count = 0;
   std::uint32_t first_unclaimed_task = 0;         // all tasks below this index are claimed
   std::map<std::uint32_t, TaskAttempt> attempts;  // by task
-  std::uint32_t running = 0;                      // attempts in TaskState::running
+  std::uint32_t running_attempts = 0;             // attempts in TaskState::running
   net::Ms retry_at = 0;                           // no task is started before this time
   int failures = 0;                               // attempts that failed since a task was last done
   std::set<std::string> failed_on;                // machines on which they failed
@@ -88,7 +88,7 @@
   std::string reserved_zone;
   net::Ms zone_reserved_since = 0;
   // A durable task record of the job can't be read, so none of its tasks may be started.
-  bool unreadable = false;
+  bool has_unreadable_record = false;
   // The final stage of an ended job; `queued` if the job has not ended or its final stage is
   // unknown.
   wire::Stage stage = wire::Stage::queued;
@@ -102,8 +102,9 @@
 
   // True if tasks of the job may be started.
   [[nodiscard]] bool active() const { return lifecycle_ == Lifecycle::active; }
-  // True if the final status was passed to the RecordStore, or was found in the state service.
-  [[nodiscard]] bool final_status_written() const {
+  // True if the final status was passed to the RecordStore, or was found in the state service. It
+  // may not be durable yet.
+  [[nodiscard]] bool final_status_decided() const {
     return lifecycle_ >= Lifecycle::writing_final_status;
   }
   [[nodiscard]] bool ended() const { return lifecycle_ == Lifecycle::ended; }
--- a/src/leader/leader_term.cc
+++ b/src/leader/leader_term.cc
@@ -29,7 +29,7 @@
                        state, election, fleet_, *this),
       command_dispatcher_(context_, workers_, fleet_, jobs_,
                           [this](Machine& machine, const wire::Heartbeat& report) {
-                            reconciler_.reconcile(machine, report, ReportSource::command_answer);
+                            reconciler_.reconcile(machine, report, ReportSource::command_reply);
                           }),
       attempt_lifecycle_(context_, jobs_, attempt_tracker_, task_records_, fleet_,
                          command_dispatcher_, attempt_hooks()),
@@ -67,7 +67,7 @@
       epoch, {.on_loaded = [this] { job_watcher_.list(); },
               .on_finalized = [this] { task_records_.use_segments(cluster_version_.spans()); },
               .on_fenced = [this] { on_fenced(); }});
-  scheduling_loop_.start_term(term_.began());
+  scheduling_loop_.start_term(term_.began_at());
 }
 
 void LeaderTerm::end_term() {
@@ -85,13 +85,14 @@
 }
 
 RecordStore::Callbacks LeaderTerm::record_store_hooks() {
-  return {
-      .render = [this](const std::string& job,
-                       const RecordId& record) { return task_records_.render(job, record); },
-      .on_fenced = [this] { on_fenced(); },
-      .on_final_status_found = [this](const std::string& job,
-                                      wire::Stage stage) { job_lifecycle_.on_ended(job, stage); },
-      .on_value_too_large = [this] { cluster_version_.finalize(); }};
+  return {.render = [this](const std::string& job,
+                           const RecordId& record) { return task_records_.render(job, record); },
+          .on_fenced = [this] { on_fenced(); },
+          .on_final_status_found =
+              [this](const std::string& job, wire::Stage stage) {
+                job_lifecycle_.on_final_status_durable(job, stage);
+              },
+          .on_value_too_large = [this] { cluster_version_.finalize(); }};
 }
 
 DependencyTracker::Hooks LeaderTerm::dependency_hooks() {
@@ -99,25 +100,25 @@
             job_lifecycle_.on_ready(job, last_dependency);
           },
           [this](const std::string& job) { job_lifecycle_.cancel_dependent(job); },
-          [this](const std::string& job, const state::Item& open) {
-            job_lifecycle_.apply_open_record(job, open.value, open.version);
+          [this](const std::string& job, const state::Item& open_record) {
+            job_lifecycle_.apply_open_record(job, open_record.value, open_record.version);
           }};
 }
 
 AttemptLifecycle::Hooks LeaderTerm::attempt_hooks() {
   return {[this](const std::string& job) { job_lifecycle_.erase_if_settled(job); },
           [this](JobRecord& job) { job_lifecycle_.conclude_if_complete(job); },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 JobLifecycle::Hooks LeaderTerm::job_hooks() {
   return {[this](const JobRecord& job) { scheduling_loop_.record_arrival(job); },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 HeartbeatReconciler::Hooks LeaderTerm::reconciler_hooks() {
   return {[this](JobRecord& job) { job_lifecycle_.conclude_if_complete(job); },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 JobWatcher::Hooks LeaderTerm::watcher_hooks() {
@@ -132,7 +133,7 @@
             term_.complete_recovery();
             scheduling_loop_.allow_passes();
           },
-          [this] { scheduling_loop_.request_pass(); }};
+          [this] { scheduling_loop_.request_scheduling_pass(); }};
 }
 
 void LeaderTerm::on_machine_gone(Machine& machine) {
--- a/src/leader/recovery/recovery.cc
+++ b/src/leader/recovery/recovery.cc
@@ -34,7 +34,7 @@
   log_recovery();
   parts_.dependencies.complete_listing();
   parts_.watcher.watch();
-  hooks_.request_pass();
+  hooks_.request_scheduling_pass();
 }
 
 // Completes the steps that the former leader left unfinished. Each step can erase jobs from the job
@@ -46,7 +46,7 @@
     JobRecord* job = parts_.jobs.find(id);
     if (!job) continue;
     if (job->ended()) {
-      for (auto& [task, attempt] : job->attempts) attempt.stop = true;
+      for (auto& [task, attempt] : job->attempts) attempt.stop_requested = true;
       parts_.job_lifecycle.erase_if_settled(id);
       continue;
     }
@@ -68,7 +68,7 @@
   }
   audit::recovery_ended(context_.election.epoch(), parts_.watcher.first_listing_revision(),
                         parts_.jobs.size() - ended_jobs, ended_jobs, attempts,
-                        context_.runtime.now() - context_.term.began());
+                        context_.runtime.now() - context_.term.began_at());
 }
 
 // Decodes one task record and collects it until all records of its job are read. Records arrive in
@@ -89,7 +89,7 @@
     // The record may contain attempts that are still running. Therefore the job is marked as
     // unreadable and is not treated as a job without attempts.
     audit::unreadable_task_record(item.key, id, error.what());
-    if (JobRecord* job = parts_.jobs.find(id)) job->unreadable = true;
+    if (JobRecord* job = parts_.jobs.find(id)) job->has_unreadable_record = true;
   }
 }
 
@@ -144,7 +144,7 @@
     TaskAttempt& attempt =
         parts_.attempt_tracker.add(job, assignment.task, assignment.attempt,
                                    parts_.fleet.ensure(assignment.machine), assignment.incarnation);
-    attempt.durable = attempt.sent = true;
+    attempt.durable = attempt.start_sent = true;
   }
 }
 
--- a/src/leader/recovery/recovery.h
+++ b/src/leader/recovery/recovery.h
@@ -4,7 +4,7 @@
 // Recovery owns the records of one job at a time, until all records of that job are read.
 // LeaderTerm calls it on the loop's thread, between the start and the end of a term, after
 // JobWatcher has listed the open jobs. A failed request is retried. A record that can't be decoded
-// is logged, and its job, if the job is still open, is marked as unreadable.
+// is logged, and its job, if the job is still open, is marked as having an unreadable record.
 #pragma once
 
 #include <functional>
@@ -44,7 +44,7 @@
     // Reports that all records are read. The state of the term is then complete, and scheduling
     // passes may be requested.
     std::function<void()> on_records_read;
-    std::function<void()> request_pass;
+    std::function<void()> request_scheduling_pass;
   };
 
   Recovery(const LeaderContext& context, state::Client& state, const Parts& parts, Hooks hooks);
--- a/src/leader/scheduling/job_views.cc
+++ b/src/leader/scheduling/job_views.cc
@@ -47,7 +47,7 @@
     view.pending = std::move(pending);
     view.priority = sources_.dependencies.effective_priority(id);
     view.wait_budget_s = deadlines_.wait_budget_s(*job);
-    view.urgent = deadlines_.has_start_objective(job->spec.job_class);
+    view.has_start_objective = deadlines_.has_start_objective(job->spec.job_class);
     view.within_guarantee = guaranteed.contains(job.get());
     view.fair_share_rank = view.within_guarantee ? 0 : 1;
     view.blocked = now < job->retry_at;
@@ -60,7 +60,7 @@
 }
 
 JobViews::Extent JobViews::extent_of(const JobRecord& job) const {
-  if (!job.active() || job.unreadable || job.first_unclaimed_task == job.spec.tasks)
+  if (!job.active() || job.has_unreadable_record || job.first_unclaimed_task == job.spec.tasks)
     return Extent::none;
   // No task may start before every job that this job depends on is durably done (docs/safety.md,
   // "No task starts too early"). Until then the job also reserves no capacity, causes no scale-out
@@ -68,7 +68,7 @@
   if (!sources_.dependencies.ready(job.spec.id)) return Extent::none;
   // A gang's next attempt starts only after all attempts of the previous one have been removed.
   if (job.gang()) return job.attempts.empty() ? Extent::full : Extent::none;
-  if (!job.fails_everywhere() || job.running != 0) return Extent::full;
+  if (!job.fails_everywhere() || job.running_attempts != 0) return Extent::full;
   // A job that failed on more than one machine gets capacity for a single task, which shows whether
   // the job still fails.
   return job.attempts.empty() ? Extent::probe : Extent::none;
--- a/src/leader/scheduling/scheduling_loop.h
+++ b/src/leader/scheduling/scheduling_loop.h
@@ -20,7 +20,7 @@
 #include "leader/scheduling/usage_log.h"
 #include "net/callback_scope.h"
 #include "net/runtime.h"
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "state/client.h"
 
 namespace seampass::leader {
@@ -37,19 +37,19 @@
   void allow_passes() { recovered_ = true; }
   void end_term();
 
-  // Requests a pass, because something has changed that a pass could act on.
-  void request_pass();
+  // Requests a scheduling pass, because something has changed that a pass could act on.
+  void request_scheduling_pass();
   // Records that the job has become ready to be scheduled.
   void record_arrival(const JobRecord& job) { headroom_.record_arrival(job); }
   // Frees the snapshot slot of a machine that no longer exists, so that another machine can use it.
   void forget_machine(const Machine& machine) { snapshot_.remove(machine); }
 
  private:
-  [[nodiscard]] bool may_schedule() const { return recovered_ && election_.holds(); }
+  [[nodiscard]] bool may_schedule() const { return recovered_ && election_.lease_valid(); }
 
-  // Runs a pass. `lateness` is the time by which the pass starts later than it was due; it shows
+  // Runs a pass. `start_delay` is the time by which the pass starts later than it was due; it shows
   // how busy this process is.
-  void run_pass(net::Ms lateness);
+  void run_pass(net::Ms start_delay);
   void schedule(const std::vector<JobRecord*>& jobs);
   void replace_reservations(const std::vector<JobRecord*>& jobs, const sched::Decisions& decisions);
   void preempt(const sched::Decisions& decisions);
@@ -71,7 +71,7 @@
   bool recovered_ = false;
   bool pass_requested_ = false;
   net::Ms next_pass_at_ = 0;
-  net::Ms tick_lateness_ = 0;
+  net::Ms tick_delay_ = 0;
 };
 
 }  // namespace seampass::leader
--- a/src/leader/workers/command_dispatcher.cc
+++ b/src/leader/workers/command_dispatcher.cc
@@ -37,7 +37,7 @@
   // A worker that has just begun a new incarnation runs the tasks that it is commanded to start
   // until its own lease expires, whether or not its reply arrives. Sending a start therefore counts
   // as contact with the worker (AttemptTracker::lease_expired).
-  if (!start_ids.empty()) machine.last_command_ack_at = context_.runtime.now();
+  if (!start_ids.empty()) machine.last_command_at = context_.runtime.now();
   workers_.send(machine.addr, context_.election.epoch(), machine.incarnation, commands,
                 context_.term.callbacks().wrap(
                     [this, name = machine.name, start_ids](
@@ -50,7 +50,7 @@
                                  workers::Sent outcome,
                                  const std::optional<wire::Heartbeat>& report) {
   for (const AttemptId& id : start_ids)
-    if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->in_flight;
+    if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->starts_in_flight;
   Machine* machine = fleet_.find(name);
   if (!machine) return;
   // The commands were certainly not executed, and no late copy of them will be executed.
@@ -58,7 +58,7 @@
     for (const AttemptId& id : start_ids) machine->replayable_starts.erase(id);
   const bool may_be_executed = outcome == workers::Sent::unknown && !start_ids.empty();
   if (outcome == workers::Sent::executed || may_be_executed)
-    machine->last_command_ack_at = context_.runtime.now();
+    machine->last_command_at = context_.runtime.now();
   if (outcome == workers::Sent::unknown || outcome == workers::Sent::not_sent) {
     on_unanswered(*machine);
   } else {
@@ -81,10 +81,10 @@
   if (!machine.unresponsive_since) machine.unresponsive_since = now;
   if (now - *machine.unresponsive_since < half_lease || machine.deleting) return;
   machine.draining = true;
-  const bool idle =
-      std::none_of(machine.attempts.begin(), machine.attempts.end(),
-                   [](const auto& entry) { return entry.second->seen && !entry.second->missing; });
-  if (idle) fleet_.remove(machine);
+  const bool idle = std::none_of(
+      machine.attempts.begin(), machine.attempts.end(),
+      [](const auto& entry) { return entry.second->reported && !entry.second->missing; });
+  if (idle) fleet_.request_deletion(machine);
 }
 
 }  // namespace seampass::leader
--- a/src/sched/cluster_snapshot.h
+++ b/src/sched/cluster_snapshot.h
@@ -52,7 +52,7 @@
   Resources free;                // total minus the requests of its tasks
   double price = 0;              // per hour
   std::set<std::string> images;  // images in its cache
-  std::size_t tasks = 0;         // number of tasks on it, in any state
+  std::size_t task_count = 0;    // number of tasks on it, in any state
   std::vector<ExpectedRelease> releases;
 };
 
@@ -84,13 +84,13 @@
   std::string image;
   // The job's class has an objective for its start. A machine that has the image in its cache is
   // then preferred to a cheaper one, and lower-priority tasks may be preempted for the job.
-  bool urgent = false;
+  bool has_start_objective = false;
   // The job fits into its team's guarantee together with the team's earlier unfinished jobs.
   bool within_guarantee = false;
   // How many seconds the job's start may wait for resources that are in use, before new machines
   // are rented instead.
   double wait_budget_s = 0;
-  std::uint32_t tasks = 0;             // number of tasks in the whole job
+  std::uint32_t task_count = 0;        // number of tasks in the whole job
   std::vector<std::uint32_t> pending;  // tasks to place, ascending; possibly only the first ones
   ZoneCounts placed;                   // tasks charged to a machine, by any of their attempts
   // Pairs of a task and the index of a machine that the task must avoid. That machine still has a
@@ -116,7 +116,7 @@
   double cpus = 0, gpus = 0;                 // usage by placed and reserved tasks
 
   // Returns how many more tasks with this request the limits allow.
-  [[nodiscard]] std::uint32_t allows(const Resources& request) const;
+  [[nodiscard]] std::uint32_t tasks_within_quota(const Resources& request) const;
 };
 
 enum class MachineChoice {
@@ -131,7 +131,7 @@
   // count as booting.
   std::vector<MachineView> pending_scale_out;
   std::map<std::string, TeamView> teams;
-  MachineChoice choice = MachineChoice::scored;
+  MachineChoice machine_choice = MachineChoice::scored;
 };
 
 }  // namespace seampass::sched
--- a/tests/fakes/rolling_upgrade.h
+++ b/tests/fakes/rolling_upgrade.h
@@ -1,6 +1,6 @@
 // The base class of tests of a rolling upgrade: the version in production and the new version run
-// side by side and read each other's records. The tests run in simulated time against our own fakes
-// of the state service, the cloud and the workers.
+// side by side and read each other's records. The tests run in simulated time against fakes of the
+// state service, the cloud and the workers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -55,12 +55,12 @@
   static void leave_segments_in_use(SimulatedCluster& cluster) {
     cluster.put("cluster", {{"version", 1}, {"segment_tasks", 42}, {"chunk_tasks", 128}});
   }
-  // How many task records have the segment layout.
+  // Returns the number of task records that have the segment layout.
   static int segments(const SimulatedCluster& cluster) {
     return static_cast<int>(cluster.state.count("work/") - chunks(cluster));
   }
-  // How many task records have the chunk layout. The last part of a chunk's key begins with a
-  // digit, that of a segment's key with `s`.
+  // Returns the number of task records that have the chunk layout. The last part of a chunk's key
+  // begins with a digit, that of a segment's key with `s`.
   static int chunks(const SimulatedCluster& cluster) {
     int count = 0;
     const std::string records = cluster.state.dump("work/");
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -40,7 +40,7 @@
   }
 };
 
-TEST(Formats, RequestToReadAKeyIsUnchanged) {
+TEST(Formats, KeyReadIsUnchanged) {
   RecordedStateClient state;
   state::GetResult found;
   state.answer(200, R"({"path":"open/wk-8801","v":{"a":1},"stamp":17,"permit":4})");
@@ -53,7 +53,7 @@
   EXPECT_EQ(found.item.lease, 4U);
 }
 
-TEST(Formats, RequestsToListKeysAreUnchanged) {
+TEST(Formats, KeyListingIsUnchanged) {
   RecordedStateClient state;
   state::ListResult found;
   state.answer(200,
@@ -70,7 +70,7 @@
   EXPECT_EQ(found.revision, 9U);
 }
 
-TEST(Formats, TransactionRequestIsUnchanged) {
+TEST(Formats, TransactionIsUnchanged) {
   RecordedStateClient state;
   state::TxnResult result;
   state::Txn txn;
@@ -80,7 +80,7 @@
   txn.changes.push_back({"open/wk-8801", std::nullopt, 0});
   state.answer(409, R"({"failed":["ends/wk-8801"],"ledger_rev":12})");
   state.client.txn(std::move(txn), state::Urgency::final_status,
-                   [&](const state::TxnResult& r) { result = r; });
+                   [&](const state::TxnResult& received) { result = received; });
   EXPECT_EQ(
       state.http.requests,
       (Requests{
@@ -90,13 +90,14 @@
   EXPECT_EQ(result.revision, 12U);
 }
 
-TEST(Formats, WatchRequestIsUnchanged) {
+TEST(Formats, WatchIsUnchanged) {
   RecordedStateClient state;
   state::WatchResult result;
   state.answer(
       200,
       R"({"log":[{"write":"leader","v":{"node":"n1"},"stamp":13},{"delete":"leader","stamp":14}],"ledger_rev":15})");
-  state.client.watch("leader", 12, 4000, [&](const state::WatchResult& r) { result = r; });
+  state.client.watch("leader", 12, 4000,
+                     [&](const state::WatchResult& received) { result = received; });
   EXPECT_EQ(state.http.requests,
             (Requests{"state:1 GET /watch?under=leader&since=12&block_ms=4000 "}));
   EXPECT_EQ(result.revision, 15U);
@@ -128,7 +129,7 @@
   cloud::Client client(time, http, "cloud:1", 100, 1000);
   client.catalog([](bool, const std::vector<wire::MachineType>&) {});
   client.rent({"n1-17", "t-large", "zone-3", false, 2},
-              [](cloud::Rented, const std::vector<std::string>&) {});
+              [](cloud::RentalResult, const std::vector<std::string>&) {});
   client.remove({"m-000051"}, [](bool) {});
   client.machines("", [](bool, const wire::MachinePage&) {});
   client.machines("m-000051", [](bool, const wire::MachinePage&) {});
@@ -141,18 +142,20 @@
           "cloud:1 GET /rentals?most=500 ", "cloud:1 GET /rentals?most=500&since=m-000051 "}));
 }
 
-TEST(Formats, DistinguishesNoCapacityFromOtherCloudErrors) {
+TEST(Formats, RecognizesThatTheCloudHasNoCapacity) {
   const auto rented = [](const char* body) {
     SimTime time;
     RecordingCaller http;
     cloud::Client client(time, http, "cloud:1", 100, 1000);
     http.reply = {net::Reply::Fate::answered, 503, body};
-    std::optional<cloud::Rented> result;
-    client.rent({}, [&](cloud::Rented r, const std::vector<std::string>&) { result = r; });
+    std::optional<cloud::RentalResult> result;
+    client.rent({}, [&](cloud::RentalResult received, const std::vector<std::string>&) {
+      result = received;
+    });
     return result;
   };
-  EXPECT_EQ(rented(R"({"error":"no capacity"})"), cloud::Rented::no_capacity);
-  EXPECT_EQ(rented(R"({"error":"trouble"})"), cloud::Rented::trouble);
+  EXPECT_EQ(rented(R"({"error":"no capacity"})"), cloud::RentalResult::no_capacity);
+  EXPECT_EQ(rented(R"({"error":"trouble"})"), cloud::RentalResult::failed);
 }
 
 TEST(Formats, RequestsToWorkersAreUnchanged) {
--- a/tests/sched_queue_order_test.cc
+++ b/tests/sched_queue_order_test.cc
@@ -1,6 +1,7 @@
+// Tests the order in which a scheduling pass considers the pending jobs.
 #include <gtest/gtest.h>
 
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "sched_builders.h"
 
 namespace seampass::sched {
--- a/tests/sched_scaling_test.cc
+++ b/tests/sched_scaling_test.cc
@@ -1,6 +1,7 @@
+// Tests which machines are rented for pending jobs and which are kept as headroom.
 #include <gtest/gtest.h>
 
-#include "sched/snapshot.h"
+#include "sched/sched.h"
 #include "sched_builders.h"
 
 namespace seampass::sched {
