--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -59,11 +59,11 @@
         uv_write(&write_request, stream(), &bytes, 1, [](uv_write_t* written, int status) {
           auto* connection = static_cast<Connection*>(written->data);
           connection->writing = false;
-          if (status != 0) connection->fail(Reply::Fate::unknown);
+          if (status != 0) connection->fail(Reply::Result::unknown);
         });
     if (error != 0) {
       writing = false;
-      fail(Reply::Fate::unknown);
+      fail(Reply::Result::unknown);
     }
   }
 
@@ -74,10 +74,10 @@
     return std::exchange(done, nullptr);
   }
 
-  void fail(Reply::Fate fate) {
+  void fail(Reply::Result result) {
     close();
     const ReplyFn callback = end_request();
-    if (callback) callback(Reply{fate, 0, {}});
+    if (callback) callback(Reply{result, 0, {}});
   }
 
   // Called when the request's timeout expires. Fails the request after one more loop
@@ -91,7 +91,7 @@
       timer = 0;
       // fail() closes the socket. A connection attempt that is closed cannot complete later, so a
       // request on a connection that is not yet open was never sent.
-      fail(connected ? Reply::Fate::unknown : Reply::Fate::not_sent);
+      fail(connected ? Reply::Result::unknown : Reply::Result::not_sent);
     });
   }
 
@@ -142,7 +142,7 @@
 
 void HttpClient::Connection::on_connected(int status) {
   if (closing) return;
-  if (status != 0) return fail(Reply::Fate::not_sent);
+  if (status != 0) return fail(Reply::Result::not_sent);
   connected = true;
   start_reading();
   send_request();
@@ -174,11 +174,11 @@
   }
   body = std::move(parsed.body);
   if (parsed.complete) return on_reply(size > 0 && http_should_keep_alive(&parser) != 0);
-  if (size < 0 || HTTP_PARSER_ERRNO(&parser) != HPE_OK) fail(Reply::Fate::unknown);
+  if (size < 0 || HTTP_PARSER_ERRNO(&parser) != HPE_OK) fail(Reply::Result::unknown);
 }
 
 void HttpClient::Connection::on_reply(bool keep_alive) {
-  const Reply reply{Reply::Fate::answered, static_cast<int>(parser.status_code), std::move(body)};
+  const Reply reply{Reply::Result::answered, static_cast<int>(parser.status_code), std::move(body)};
   const ReplyFn callback = end_request();
   // The connection is released before the callback runs, so that the callback can send its next
   // request on it.
@@ -256,7 +256,7 @@
 void HttpClient::call(Call call, ReplyFn done) {
   Connection* connection = take_idle(call.endpoint);
   if (connection == nullptr) connection = connect(call.endpoint);
-  if (connection == nullptr) return done(Reply{Reply::Fate::not_sent, 0, {}});
+  if (connection == nullptr) return done(Reply{Reply::Result::not_sent, 0, {}});
   connection->request = request_text(call);
   connection->done = std::move(done);
   connection->timer =
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -2,7 +2,7 @@
 // each of them.
 //
 // HttpClient owns its connections. The loop calls back into them, so the loop must outlive the
-// client. Errors are reported in Reply::fate, which says whether the server may have executed the
+// client. Errors are reported in Reply::result, which says whether the server may have executed the
 // request.
 #pragma once
 
--- a/src/net/runtime.h
+++ b/src/net/runtime.h
@@ -33,12 +33,12 @@
   // `answered`: the server replied. `not_sent`: the request never left this process, so the server
   // never executes it. `unknown`: no complete reply arrived, and the server may have executed the
   // request or may still execute it later.
-  enum class Fate { answered, not_sent, unknown };
-  Fate fate = Fate::unknown;
+  enum class Result { answered, not_sent, unknown };
+  Result result = Result::unknown;
   int status = 0;
   std::string body;
 
-  bool is(int code) const { return fate == Fate::answered && status == code; }
+  bool is(int code) const { return result == Result::answered && status == code; }
 };
 
 using ReplyFn = std::function<void(const Reply&)>;
--- a/src/state/client.cc
+++ b/src/state/client.cc
@@ -77,11 +77,11 @@
 }
 
 void Client::on_reply(const Reply& reply) {
-  const bool answered = reply.fate == Reply::Fate::answered;
+  const bool answered = reply.result == Reply::Result::answered;
   const bool refused = is_refusal(reply);
   consecutive_failures_ = answered && !refused ? 0 : consecutive_failures_ + 1;
   if (refused) ++counters_.refused;
-  if (reply.fate == Reply::Fate::unknown) ++counters_.unknown;
+  if (reply.result == Reply::Result::unknown) ++counters_.unknown;
   if (answered) queue_.on_answer(refused ? ServiceAnswer::refused : ServiceAnswer::accepted);
 }
 
--- a/src/state/protocol.cc
+++ b/src/state/protocol.cc
@@ -107,12 +107,12 @@
 bool is_refusal(const Reply& reply) { return reply.is(kTooManyRequests) || reply.is(kUnavailable); }
 
 Outcome outcome_of(const Reply& reply) {
-  switch (reply.fate) {
-    case Reply::Fate::not_sent:
+  switch (reply.result) {
+    case Reply::Result::not_sent:
       return Outcome::refused;
-    case Reply::Fate::unknown:
+    case Reply::Result::unknown:
       return Outcome::unknown;
-    case Reply::Fate::answered:
+    case Reply::Result::answered:
       break;
   }
   switch (reply.status) {
--- a/tests/fakes/sim_net.h
+++ b/tests/fakes/sim_net.h
@@ -69,16 +69,16 @@
   void call(const std::string& from, const std::shared_ptr<bool>& alive, const net::Call& call,
             const net::ReplyFn& done) {
     const Delivery delivery = rule_ ? rule_(from, call) : Delivery{};
-    if (delivery.refuse) return reply_soon(alive, done, {net::Reply::Fate::not_sent, 0, {}});
+    if (delivery.refuse) return reply_soon(alive, done, {net::Reply::Result::not_sent, 0, {}});
     if (delivery.status != 0)
-      return reply_soon(alive, done, {net::Reply::Fate::answered, delivery.status, "{}"});
+      return reply_soon(alive, done, {net::Reply::Result::answered, delivery.status, "{}"});
     const net::ReplyFn reply_once = [alive, done,
                                      answered = std::make_shared<bool>(false)](const auto& reply) {
       if (*answered || !*alive) return;
       *answered = true;
       done(reply);
     };
-    time_.after(call.timeout, [reply_once] { reply_once({net::Reply::Fate::unknown, 0, {}}); });
+    time_.after(call.timeout, [reply_once] { reply_once({net::Reply::Result::unknown, 0, {}}); });
     if (!delivery.drop) execute(call, delivery, reply_once);
   }
 
@@ -105,7 +105,7 @@
                       if (answer_lost) return;
                       if (replaced_body) response.body = *replaced_body;
                       time_.after(latency(), [reply_once, response] {
-                        reply_once({net::Reply::Fate::answered, response.status, response.body});
+                        reply_once({net::Reply::Result::answered, response.status, response.body});
                       });
                     });
     });
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -24,7 +24,7 @@
   }
 
   std::vector<std::string> requests;
-  net::Reply reply{net::Reply::Fate::answered, 200, "{}"};
+  net::Reply reply{net::Reply::Result::answered, 200, "{}"};
 };
 
 using Requests = std::vector<std::string>;
@@ -36,7 +36,7 @@
   state::Client client{time, http, "state:1", 1000, 1000, 500};
 
   void answer(int status, const char* body) {
-    http.reply = {net::Reply::Fate::answered, status, body};
+    http.reply = {net::Reply::Result::answered, status, body};
   }
 };
 
@@ -147,7 +147,7 @@
     SimTime time;
     RecordingCaller http;
     cloud::Client client(time, http, "cloud:1", 100, 1000);
-    http.reply = {net::Reply::Fate::answered, 503, body};
+    http.reply = {net::Reply::Result::answered, 503, body};
     std::optional<cloud::RentalResult> result;
     client.rent({}, [&](cloud::RentalResult received, const std::vector<std::string>&) {
       result = received;
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -161,7 +161,7 @@
   client.call({Loopback::listen(unresponsive), "GET", "/keys/a", "", 500},
               [&](const net::Reply& received) { reply = received; });
   while (!reply) uv_run(loopback.loop.raw(), UV_RUN_ONCE);
-  EXPECT_EQ(reply->fate, net::Reply::Fate::unknown);
+  EXPECT_EQ(reply->result, net::Reply::Result::unknown);
 }
 
 // Stores each call so that the test can answer it later.
@@ -181,13 +181,13 @@
     client.send("m" + std::to_string(i), 7, 1, {},
                 [&completed](workers::Sent, const auto&) { ++completed; });
   ASSERT_EQ(http.calls.size(), 2u);
-  http.calls[0].second({net::Reply::Fate::unknown, 0, {}});
+  http.calls[0].second({net::Reply::Result::unknown, 0, {}});
   ASSERT_EQ(http.calls.size(), 3u);
   EXPECT_EQ(http.calls[2].first.endpoint, "m2");
   // A node that stops leading calls drop_queued(). The commands to m3 and m4 must not be sent.
   client.drop_queued();
-  http.calls[1].second({net::Reply::Fate::unknown, 0, {}});
-  http.calls[2].second({net::Reply::Fate::unknown, 0, {}});
+  http.calls[1].second({net::Reply::Result::unknown, 0, {}});
+  http.calls[2].second({net::Reply::Result::unknown, 0, {}});
   EXPECT_EQ(http.calls.size(), 3u);
   EXPECT_EQ(completed, 3);
 }
--- a/tests/scheduling_test.cc
+++ b/tests/scheduling_test.cc
@@ -25,7 +25,7 @@
             ? R"({"barrels": [{"name": "small", "cpus": 8, "memory_gb": 64, "price": 2,
                   "low_price": 1, "ready_s": 40, "cellars": ["a"]}]})"
             : "{}";
-    done({net::Reply::Fate::answered, 200, body});
+    done({net::Reply::Result::answered, 200, body});
   }
   std::vector<std::string> deletions;
 };
--- a/tests/sim_net_test.cc
+++ b/tests/sim_net_test.cc
@@ -48,7 +48,7 @@
   send(delivery);
   EXPECT_EQ(executed_, 0);
   ASSERT_EQ(replies_.size(), 1u);
-  EXPECT_EQ(replies_.front().fate, net::Reply::Fate::not_sent);
+  EXPECT_EQ(replies_.front().result, net::Reply::Result::not_sent);
 }
 
 TEST_F(SimNetTest, DroppedRequestIsNotExecutedAndItsOutcomeIsUnknown) {
@@ -57,7 +57,7 @@
   send(delivery);
   EXPECT_EQ(executed_, 0);
   ASSERT_EQ(replies_.size(), 1u);
-  EXPECT_EQ(replies_.front().fate, net::Reply::Fate::unknown);
+  EXPECT_EQ(replies_.front().result, net::Reply::Result::unknown);
 }
 
 TEST_F(SimNetTest, RequestThatArrivesAfterItsTimeoutIsExecutedAndItsOutcomeIsUnknown) {
@@ -66,7 +66,7 @@
   send(delivery);
   EXPECT_EQ(executed_, 1);
   ASSERT_EQ(replies_.size(), 1u);
-  EXPECT_EQ(replies_.front().fate, net::Reply::Fate::unknown);
+  EXPECT_EQ(replies_.front().result, net::Reply::Result::unknown);
 }
 
 TEST_F(SimNetTest, RepeatedRequestIsExecutedTwiceAndAnsweredOnce) {
--- a/tests/state_protocol_test.cc
+++ b/tests/state_protocol_test.cc
@@ -10,7 +10,7 @@
 using net::Reply;
 
 Reply answered(int status, const char* body = "{}") {
-  return {Reply::Fate::answered, status, body};
+  return {Reply::Result::answered, status, body};
 }
 
 TEST(StateProtocol, EveryStatusHasAnOutcome) {
@@ -23,9 +23,9 @@
 }
 
 TEST(StateProtocol, WithoutAnAnswerOnlyAnUnsentRequestIsRefused) {
-  EXPECT_EQ(outcome_of({Reply::Fate::not_sent, 0, {}}), Outcome::refused);
-  EXPECT_EQ(outcome_of({Reply::Fate::unknown, 0, {}}), Outcome::unknown);
-  EXPECT_EQ(outcome_of({Reply::Fate::unknown, 503, {}}), Outcome::unknown);
+  EXPECT_EQ(outcome_of({Reply::Result::not_sent, 0, {}}), Outcome::refused);
+  EXPECT_EQ(outcome_of({Reply::Result::unknown, 0, {}}), Outcome::unknown);
+  EXPECT_EQ(outcome_of({Reply::Result::unknown, 503, {}}), Outcome::unknown);
 }
 
 TEST(StateProtocol, TheOutcomeOfAMalformedAnswerIsUnknown) {
--- a/tests/store_faults_test.cc
+++ b/tests/store_faults_test.cc
@@ -131,7 +131,7 @@
       cluster_.net.call("user", alive_,
                         {(node == stopped_node_ ? "n1" : node) + ":8080", "GET", path, "", 5000},
                         [this](const net::Reply& reply) {
-                          answered_ += reply.fate == net::Reply::Fate::answered ? 1 : 0;
+                          answered_ += reply.result == net::Reply::Result::answered ? 1 : 0;
                         });
     }
   }
