--- a/src/leader/workers/command_dispatcher.cc
+++ b/src/leader/workers/command_dispatcher.cc
@@ -39,27 +39,27 @@
   // as contact with the worker (AttemptTracker::lease_expired).
   if (!start_ids.empty()) machine.last_command_at = context_.runtime.now();
   workers_.send(machine.addr, context_.election.epoch(), machine.incarnation, commands,
-                context_.term.callbacks().wrap(
-                    [this, name = machine.name, start_ids](
-                        workers::Sent outcome, const std::optional<wire::Heartbeat>& report) {
-                      on_reply(name, start_ids, outcome, report);
-                    }));
+                context_.term.callbacks().wrap([this, name = machine.name, start_ids](
+                                                   workers::CommandResult outcome,
+                                                   const std::optional<wire::Heartbeat>& report) {
+                  on_reply(name, start_ids, outcome, report);
+                }));
 }
 
 void CommandDispatcher::on_reply(const std::string& name, const std::vector<AttemptId>& start_ids,
-                                 workers::Sent outcome,
+                                 workers::CommandResult outcome,
                                  const std::optional<wire::Heartbeat>& report) {
   for (const AttemptId& id : start_ids)
     if (TaskAttempt* attempt = jobs_.find_attempt(id)) --attempt->starts_in_flight;
   Machine* machine = fleet_.find(name);
   if (!machine) return;
   // The commands were certainly not executed, and no late copy of them will be executed.
-  if (outcome == workers::Sent::not_sent || outcome == workers::Sent::rejected)
+  if (outcome == workers::CommandResult::not_sent || outcome == workers::CommandResult::rejected)
     for (const AttemptId& id : start_ids) machine->replayable_starts.erase(id);
-  const bool may_be_executed = outcome == workers::Sent::unknown && !start_ids.empty();
-  if (outcome == workers::Sent::executed || may_be_executed)
+  const bool may_be_executed = outcome == workers::CommandResult::unknown && !start_ids.empty();
+  if (outcome == workers::CommandResult::executed || may_be_executed)
     machine->last_command_at = context_.runtime.now();
-  if (outcome == workers::Sent::unknown || outcome == workers::Sent::not_sent) {
+  if (outcome == workers::CommandResult::unknown || outcome == workers::CommandResult::not_sent) {
     on_unanswered(*machine);
   } else {
     machine->unresponsive_since.reset();
--- a/src/leader/workers/command_dispatcher.h
+++ b/src/leader/workers/command_dispatcher.h
@@ -41,7 +41,7 @@
 
  private:
   void on_reply(const std::string& name, const std::vector<AttemptId>& start_ids,
-                workers::Sent outcome, const std::optional<wire::Heartbeat>& report);
+                workers::CommandResult outcome, const std::optional<wire::Heartbeat>& report);
 
   LeaderContext context_;
   workers::Client& workers_;
--- a/src/workers/client.cc
+++ b/src/workers/client.cc
@@ -18,10 +18,11 @@
                   const std::vector<wire::Command>& commands, Done done) {
   enqueue({addr, "POST", "/commands", wire::commands_body(token, incarnation, commands), timeout_},
           [done = std::move(done)](const net::Reply& reply) {
-            if (reply.result == net::Reply::Result::not_sent) return done(Sent::not_sent, {});
-            if (reply.is(200)) return done(Sent::executed, heartbeat_of(reply));
-            if (reply.is(409)) return done(Sent::rejected, heartbeat_of(reply));
-            done(Sent::unknown, {});
+            if (reply.result == net::Reply::Result::not_sent)
+              return done(CommandResult::not_sent, {});
+            if (reply.is(200)) return done(CommandResult::executed, heartbeat_of(reply));
+            if (reply.is(409)) return done(CommandResult::rejected, heartbeat_of(reply));
+            done(CommandResult::unknown, {});
           });
 }
 
--- a/src/workers/client.h
+++ b/src/workers/client.h
@@ -13,7 +13,8 @@
 
 namespace seampass::workers {
 
-enum class Sent {
+// The outcome of send().
+enum class CommandResult {
   executed,  // status 200: the worker executed the commands
   rejected,  // status 409: the worker executed nothing, and it also rejects a late copy of the
              // request
@@ -24,7 +25,7 @@
 
 class Client {
  public:
-  using Done = std::function<void(Sent, std::optional<wire::Heartbeat>)>;
+  using Done = std::function<void(CommandResult, std::optional<wire::Heartbeat>)>;
   using InspectDone = std::function<void(std::optional<wire::Heartbeat>)>;
 
   // `max_in_flight` is the maximum number of requests in flight. It limits the number of open
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -162,7 +162,7 @@
   RecordingCaller http;
   workers::Client client(http, 1000, 10);
   client.send("10.9.8.7:9100", 91, 3, {{wire::Verb::forget, "wk-8803", 5, 1, 0}},
-              [](workers::Sent, const std::optional<wire::Heartbeat>&) {});
+              [](workers::CommandResult, const std::optional<wire::Heartbeat>&) {});
   client.inspect("10.9.8.7:9100", [](const std::optional<wire::Heartbeat>&) {});
   EXPECT_EQ(
       http.requests,
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -179,7 +179,7 @@
   int completed = 0;
   for (int i = 0; i < 5; ++i)
     client.send("m" + std::to_string(i), 7, 1, {},
-                [&completed](workers::Sent, const auto&) { ++completed; });
+                [&completed](workers::CommandResult, const auto&) { ++completed; });
   ASSERT_EQ(http.calls.size(), 2u);
   http.calls[0].second({net::Reply::Result::unknown, 0, {}});
   ASSERT_EQ(http.calls.size(), 3u);
