--- a/tests/fakes/rolling_upgrade.h
+++ b/tests/fakes/rolling_upgrade.h
@@ -14,10 +14,10 @@
 namespace seampass::fakes {
 
 // The current limits of the state service, followed by the lower limits that apply once all
-// controllers run the new version. With kFalling the current limits are those under which
-// production writes its records; with kLargeRecords they allow larger records.
-inline const StoreLimits kFalling{{100, 40, 8, 10}, {100, 28, 2, 4}};
-inline const StoreLimits kLargeRecords{{100, 40, 32, 12}, {100, 28, 2, 4}};
+// controllers run the new version. With kFallingLimits the current limits are those under which
+// production writes its records; with kFallingLimitsWithLargeRecords they allow larger records.
+inline const StoreLimits kFallingLimits{{100, 40, 8, 10}, {100, 28, 2, 4}};
+inline const StoreLimits kFallingLimitsWithLargeRecords{{100, 40, 32, 12}, {100, 28, 2, 4}};
 
 // An array job whose tasks use no GPU, so that the team's GPU quota does not bound how many of them
 // run at the same time.
@@ -34,11 +34,11 @@
   // Submits an array job of `tasks` tasks as wk-1, waits until it runs, and then runs the
   // simulation for another `run_time`. Returns false if no node leads or the job does not run
   // in time.
-  static bool begin_array(SimulatedCluster& w, std::uint32_t tasks, Ms run_time) {
-    if (!w.wait_for_leader()) return false;
-    w.submit("n0", wide_job("wk-1", tasks, 25));
-    const bool running = w.reaches("wk-1", "running", 30000);
-    w.time.run_for(run_time);
+  static bool submit_and_run_array(SimulatedCluster& cluster, std::uint32_t tasks, Ms run_time) {
+    if (!cluster.wait_for_leader()) return false;
+    cluster.submit("n0", wide_job("wk-1", tasks, 25));
+    const bool running = cluster.reaches("wk-1", "running", 30000);
+    cluster.time.run_for(run_time);
     return running;
   }
   // Writes the records that production leaves behind. The machines in them are still listed by the
--- a/tests/fakes/sim_net.h
+++ b/tests/fakes/sim_net.h
@@ -24,7 +24,8 @@
   bool lose_answer = false;  // the request is executed, but its answer is lost
   bool drop = false;         // the request is lost: it is neither executed nor answered
   std::optional<Ms> delay;   // the request arrives after this time and is then answered
-  std::optional<Ms> late;    // the request arrives after this time, and its answer is lost
+  // The request arrives after this time and is executed, but its answer is lost.
+  std::optional<Ms> delay_without_answer;
   // The request arrives a second time, this long after it was sent. The second answer is lost.
   std::optional<Ms> repeat_after;
   std::optional<std::string> replaced_body;  // the answer gets this body instead of its own
@@ -68,16 +69,16 @@
   void call(const std::string& from, const std::shared_ptr<bool>& alive, const net::Call& call,
             const net::ReplyFn& done) {
     const Delivery delivery = rule_ ? rule_(from, call) : Delivery{};
-    if (delivery.refuse) return reply_soon(alive, done, {net::Reply::Fate::not_sent, 0, {}});
+    if (delivery.refuse) return reply_soon(alive, done, {net::Reply::Result::not_sent, 0, {}});
     if (delivery.status != 0)
-      return reply_soon(alive, done, {net::Reply::Fate::answered, delivery.status, "{}"});
+      return reply_soon(alive, done, {net::Reply::Result::answered, delivery.status, "{}"});
     const net::ReplyFn reply_once = [alive, done,
                                      answered = std::make_shared<bool>(false)](const auto& reply) {
       if (*answered || !*alive) return;
       *answered = true;
       done(reply);
     };
-    time_.after(call.timeout, [reply_once] { reply_once({net::Reply::Fate::unknown, 0, {}}); });
+    time_.after(call.timeout, [reply_once] { reply_once({net::Reply::Result::unknown, 0, {}}); });
     if (!delivery.drop) execute(call, delivery, reply_once);
   }
 
@@ -95,8 +96,8 @@
       time_.after(*delivery.repeat_after, [this, call, generation] {
         serve_request(call, generation, [](const net::Response&) {});
       });
-    const bool answer_lost = delivery.lose_answer || delivery.late.has_value();
-    const Ms arrival = delivery.late.value_or(delivery.delay.value_or(latency()));
+    const bool answer_lost = delivery.lose_answer || delivery.delay_without_answer.has_value();
+    const Ms arrival = delivery.delay_without_answer.value_or(delivery.delay.value_or(latency()));
     time_.after(arrival, [this, call, generation, reply_once, answer_lost,
                           replaced_body = delivery.replaced_body] {
       serve_request(call, generation,
@@ -104,7 +105,7 @@
                       if (answer_lost) return;
                       if (replaced_body) response.body = *replaced_body;
                       time_.after(latency(), [reply_once, response] {
-                        reply_once({net::Reply::Fate::answered, response.status, response.body});
+                        reply_once({net::Reply::Result::answered, response.status, response.body});
                       });
                     });
     });
--- a/tests/formats_messages_test.cc
+++ b/tests/formats_messages_test.cc
@@ -51,7 +51,7 @@
   EXPECT_EQ(heartbeat.incarnation, 3U);
   EXPECT_EQ(heartbeat.sequence, 205U);
   EXPECT_EQ(heartbeat.token, 91U);
-  EXPECT_EQ(heartbeat.notice_s, 12.5);
+  EXPECT_EQ(heartbeat.preemption_notice_s, 12.5);
 }
 
 TEST(Formats, ReadsTheTasksOfAHeartbeat) {
@@ -71,12 +71,16 @@
   }
 }
 
-TEST(Formats, ReadsEachCauseOfAnExit) {
+TEST(Formats, ReadsEachExitCause) {
   using wire::ExitCause;
-  const std::vector<std::pair<std::string, ExitCause>> causes{
-      {"done", ExitCause::done},   {"halted", ExitCause::stopped}, {"peers", ExitCause::peers},
-      {"alone", ExitCause::alone}, {"error", ExitCause::error},    {"full", ExitCause::no_room},
-      {"busy", ExitCause::busy},   {"no_such", ExitCause::unknown}};
+  const std::vector<std::pair<std::string, ExitCause>> causes{{"done", ExitCause::done},
+                                                              {"halted", ExitCause::stopped},
+                                                              {"peers", ExitCause::gang_task_lost},
+                                                              {"alone", ExitCause::gang_timeout},
+                                                              {"error", ExitCause::error},
+                                                              {"full", ExitCause::no_room},
+                                                              {"busy", ExitCause::busy},
+                                                              {"no_such", ExitCause::unknown}};
   for (const auto& [cause_text, cause] : causes) {
     wire::Json heartbeat = wire::Json::parse(kHeartbeat);
     heartbeat["pours"][4]["exit_cause"] = cause_text;
@@ -89,7 +93,7 @@
     const wire::Heartbeat heartbeat = wire::heartbeat_from(
         std::string(R"({"host":"m-000052","addr":"10.9.8.6:9100","barrel":"t-small",)") + notice +
         R"("cellar":"zone-4","lent_racks":false,"shift":1,"tally":1,"warrant":0,"pours":[]})");
-    EXPECT_FALSE(heartbeat.notice_s) << notice;
+    EXPECT_FALSE(heartbeat.preemption_notice_s) << notice;
     EXPECT_FALSE(heartbeat.spot) << notice;
     EXPECT_TRUE(heartbeat.tasks.empty()) << notice;
   }
@@ -158,7 +162,7 @@
 "stage":"starting","age_s":0},{"ref":"m-000053","barrel":"t-small","cellar":"zone-4",
 "lent_racks":false,"stage":"failed","age_s":7}]})");
 
-  EXPECT_TRUE(page.more);
+  EXPECT_TRUE(page.has_next_page);
   ASSERT_EQ(page.machines.size(), 3U);
   EXPECT_EQ(page.machines[0].name, "m-000051");
   EXPECT_EQ(page.machines[0].addr, "10.9.8.7:9100");
@@ -173,9 +177,9 @@
   EXPECT_EQ(page.machines[1].addr, "");
 }
 
-TEST(Formats, ReadsWhetherTheCloudListsMore) {
-  EXPECT_FALSE(wire::machines_from(R"({"hosts":[],"has_next":false})").more);
-  EXPECT_FALSE(wire::machines_from(R"({"hosts":[]})").more);
+TEST(Formats, ReadsWhetherTheMachineListHasANextPage) {
+  EXPECT_FALSE(wire::machines_from(R"({"hosts":[],"has_next":false})").has_next_page);
+  EXPECT_FALSE(wire::machines_from(R"({"hosts":[]})").has_next_page);
 }
 
 }  // namespace
--- a/tests/formats_requests_test.cc
+++ b/tests/formats_requests_test.cc
@@ -24,7 +24,7 @@
   }
 
   std::vector<std::string> requests;
-  net::Reply reply{net::Reply::Fate::answered, 200, "{}"};
+  net::Reply reply{net::Reply::Result::answered, 200, "{}"};
 };
 
 using Requests = std::vector<std::string>;
@@ -36,7 +36,7 @@
   state::Client client{time, http, "state:1", 1000, 1000, 500};
 
   void answer(int status, const char* body) {
-    http.reply = {net::Reply::Fate::answered, status, body};
+    http.reply = {net::Reply::Result::answered, status, body};
   }
 };
 
@@ -66,7 +66,7 @@
   ASSERT_EQ(found.items.size(), 1U);
   EXPECT_EQ(found.items[0].key, "open/wk-1");
   EXPECT_EQ(found.items[0].version, 5U);
-  EXPECT_TRUE(found.more);
+  EXPECT_TRUE(found.has_more);
   EXPECT_EQ(found.revision, 9U);
 }
 
@@ -147,7 +147,7 @@
     SimTime time;
     RecordingCaller http;
     cloud::Client client(time, http, "cloud:1", 100, 1000);
-    http.reply = {net::Reply::Fate::answered, 503, body};
+    http.reply = {net::Reply::Result::answered, 503, body};
     std::optional<cloud::RentalResult> result;
     client.rent({}, [&](cloud::RentalResult received, const std::vector<std::string>&) {
       result = received;
@@ -162,7 +162,7 @@
   RecordingCaller http;
   workers::Client client(http, 1000, 10);
   client.send("10.9.8.7:9100", 91, 3, {{wire::Verb::forget, "wk-8803", 5, 1, 0}},
-              [](workers::Sent, const std::optional<wire::Heartbeat>&) {});
+              [](workers::CommandResult, const std::optional<wire::Heartbeat>&) {});
   client.inspect("10.9.8.7:9100", [](const std::optional<wire::Heartbeat>&) {});
   EXPECT_EQ(
       http.requests,
